--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/keeper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/keeper.py
@@ -9,7 +9,7 @@
 
 from bendlead_gateway._fleet.peers import PeerTable
 from bendlead_gateway._jobs.board import Board, open_board
-from bendlead_gateway._jobs.patience import HolderPatience
+from bendlead_gateway._jobs.grace_period import OwnerGracePeriod
 from bendlead_gateway._jobs.shards import SHARDS, preferred_owner
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import NodeName, PeerRecord
@@ -49,7 +49,7 @@
         #: Who held each shard when this process started.
         self._last_holders: dict[int, str] = {}
         self._leaving = False
-        self._patience = HolderPatience(store)
+        self._patience = OwnerGracePeriod(store)
         self.boards: dict[int, Board] = {}
 
     def epochs(self) -> dict[int, int]:
