--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -1,4 +1,4 @@
-"""Which items could start now, and which of them first."""
+"""Rank the batch items that are ready to start."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -17,19 +17,18 @@
 from bendlead_gateway._suspects.evidence import ITEM_SECONDS
 from bendlead_gateway.types import Route
 
-#: Added to the time after which an item may be given up, for clocks (s).
-_RETENTION_SLACK = 4.0
-#: Pause between two looks at an item under which engines ended (s).
-_QUARANTINED_PAUSE = 0.5
+#: Tolerance for clock skew: another process may have accepted the job.
+_RETENTION_SLACK_SECONDS = 4.0
+_QUARANTINE_RECHECK_SECONDS = 0.5
 
-#: Gives up an item of a job for good.
+#: Record an item as given up; it does not run again.
 GiveUp = Callable[[Board, HeldJob, Progress], None]
 
 _Waiting = tuple[Board, HeldJob, Progress]
 
 
 class Candidate(Struct, frozen=True):
-    """Hold an item that could start, with its rank."""
+    """An item that is ready to start, with its rank."""
 
     urgency: Urgency
     board: Board
@@ -38,8 +37,8 @@
     route: Route
 
     @property
-    def turn(self) -> ItemCost:
-        """Say whose turn it takes."""
+    def cost(self) -> ItemCost:
+        """Return the item's cost for fair ordering among teams."""
         return ItemCost(
             self.urgency,
             self.job.team,
@@ -48,15 +47,18 @@
         )
 
     @property
-    def age(self) -> float:
-        """Give the share of the job's time that has passed."""
+    def elapsed_share(self) -> float:
+        """Return the share of the job's target run time that has passed.
+
+        0 where the route has no target.
+        """
         if not self.route.run_target:
             return 0
-        return seconds_since(self.job) / self.route.run_target
+        return job_age_seconds(self.job) / self.route.run_target
 
 
 class Candidates:
-    """Rank the items that wait, and give up those that can't be run."""
+    """Rank waiting items, and give up those that can no longer run."""
 
     def __init__(
         self,
@@ -71,10 +73,10 @@
         self._pace = pace
         self._metrics = metrics
         self._give_up = give_up
-        self._turns = FairOrder()
+        self._fair_order = FairOrder()
 
     def ranked(self) -> list[Candidate]:
-        """List the items that could start, the most urgent first."""
+        """Return the items that are ready to start, in the order to run."""
         found: list[Candidate] = []
         for board, job, progress in self._waiting():
             route = self._fleet.configuration.match(
@@ -85,30 +87,30 @@
             elif _expired(job, route):
                 self._give_up(board, job, progress)
             elif self._quarantined(job, progress):
-                self._let_wait(board, job, progress, route)
+                self._postpone_quarantined(board, job, progress, route)
             else:
                 urgency = self.urgency(job, progress, route)
                 found.append(Candidate(urgency, board, job, progress, route))
         if not self._fleet.configuration.asks_for_keys:
             found.sort(key=_urgency_of)
             return found
-        turns = [one.turn for one in found]
-        order = self._turns.order(turns, clock.uptime())
+        costs = [candidate.cost for candidate in found]
+        order = self._fair_order.order(costs, clock.uptime())
         return [found[number] for number in order]
 
-    def begin(self, candidate: Candidate) -> None:
-        """Note that an item starts, for the turns of its team."""
-        self._turns.begin(candidate.turn, clock.uptime())
+    def record_start(self, candidate: Candidate) -> None:
+        """Charge an item that starts to its team."""
+        self._fair_order.begin(candidate.cost, clock.uptime())
 
-    def left(self, progress: Progress) -> float:
-        """Give the seconds for which an item will still run."""
+    def remaining_seconds(self, progress: Progress) -> float:
+        """Estimate the seconds that an item still needs on an engine."""
         return self._pace.left(progress.spent)
 
-    def wait(self, job: HeldJob, progress: Progress, route: Route) -> Wait:
-        """Tell what it would cost an item to wait."""
+    def wait_cost(self, job: HeldJob, progress: Progress, route: Route) -> Wait:
+        """Return whether waiting would cost an item its target."""
         return judge_wait(
             self._pace.spare(
-                seconds_since(job),
+                job_age_seconds(job),
                 progress.spent,
                 route.run_target,
             )
@@ -117,17 +119,17 @@
     def urgency(
         self, job: HeldJob, progress: Progress, route: Route
     ) -> Urgency:
-        """Rank one item."""
+        """Compute the urgency of one item."""
         accepted_at = job.state.accepted.accepted_at
         return self._pace.urgency(
             accepted_at,
-            seconds_since(job),
+            job_age_seconds(job),
             progress.spent,
             route.run_target,
         )
 
     def _waiting(self) -> Iterator[_Waiting]:
-        """List the items that wait for a place."""
+        """Yield the items of owned jobs that wait for a slot."""
         now = clock.uptime()
         for board in list(self._keeper.boards.values()):
             for job in list(board.jobs.values()):
@@ -137,37 +139,41 @@
     def _give_up_unrouted(
         self, board: Board, job: HeldJob, progress: Progress
     ) -> None:
-        """Give an item up once its route is surely gone."""
+        """Give up an item whose route is gone.
+
+        Only once the configuration is current: an older one may lack the
+        route.
+        """
         if self._fleet.config_watch.current and self._fleet.configuration.known:
             self._give_up(board, job, progress)
 
     def _quarantined(self, job: HeldJob, progress: Progress) -> bool:
-        left = self._fleet.suspects.quarantine_left(
+        remaining_seconds = self._fleet.suspects.quarantine_left(
             lambda: job.digest(progress), ITEM_SECONDS
         )
-        return left > 0
+        return remaining_seconds > 0
 
-    def _let_wait(
+    def _postpone_quarantined(
         self, board: Board, job: HeldJob, progress: Progress, route: Route
     ) -> None:
-        """Keep an item from engines until it runs again or is given up."""
+        """Postpone a quarantined item; give it up if it has no retention."""
         self._metrics.quarantined += 1
         if route.retention:
-            progress.not_before = clock.uptime() + _QUARANTINED_PAUSE
+            progress.not_before = clock.uptime() + _QUARANTINE_RECHECK_SECONDS
         else:
             self._give_up(board, job, progress)
 
 
-def seconds_since(job: HeldJob) -> float:
-    """Give the seconds since a job was accepted."""
+def job_age_seconds(job: HeldJob) -> float:
+    """Return the seconds since a job was accepted."""
     return time.time() - job.state.accepted.accepted_at
 
 
-def _urgency_of(one: Candidate) -> Urgency:
-    return one.urgency
+def _urgency_of(candidate: Candidate) -> Urgency:
+    return candidate.urgency
 
 
 def _expired(job: HeldJob, route: Route) -> bool:
     if not route.retention:
         return False
-    return seconds_since(job) > route.retention + _RETENTION_SLACK
+    return job_age_seconds(job) > route.retention + _RETENTION_SLACK_SECONDS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -1,4 +1,4 @@
-"""One run of an item of a batch job at one engine."""
+"""One run of a batch item on an engine."""
 
 from http import HTTPStatus
 
@@ -15,17 +15,17 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import Engine, ItemOutcome, Route
 
-#: An engine that sends nothing for this long (s) has stopped or is dark.
-_SILENT_SECONDS = 2.0
-_REFUSED_PAUSE = 0.1
-#: Ownership must have been proved this recently (s) before an item starts.
-_PROVED_SECONDS = 1.5
+#: Timeout of each read and write on a connection to an engine.
+_IO_TIMEOUT_SECONDS = 2.0
+_REFUSED_PAUSE_SECONDS = 0.1
+#: Greatest age of the last proof of shard ownership when an item starts.
+_OWNERSHIP_MAX_AGE_SECONDS = 1.5
 
 
 class RunFailedError(Exception):
-    """A run ended without the item's whole output.
+    """A run ended without the item's complete output.
 
-    ``status`` is that of the engine's own answer, 0 where it gave none.
+    ``status`` is the status of the engine's response, 0 if there was none.
     """
 
     def __init__(self, reason: str, status: int = 0) -> None:
@@ -34,7 +34,7 @@
 
 
 class ItemRun(Struct, eq=False):
-    """Keep one run of an item so that it can be stopped."""
+    """A run of an item, with the connection that a stop closes."""
 
     engine: Engine
     board: Board
@@ -43,61 +43,69 @@
     route: Route
     connection: HttpConnection | None = None
     stopped: bool = False
-    #: When its request was sent (s), and whether some of an answer has come.
-    began: float = 0
-    answered: bool = False
-    #: When some of its output came last (s), 0 for never.
-    heard: float = 0
+    #: When the request was sent, and whether the response head has arrived.
+    sent_at: float = 0
+    response_started: bool = False
+    #: When output last arrived, 0 for never.
+    last_output_at: float = 0
 
     @property
     def digest(self) -> RequestDigest:
-        """Name the request, which is the same at each run."""
+        """Return the digest of the request, equal for all runs of the item."""
         return self.job.digest(self.progress)
 
     @property
-    def silent(self) -> float:
-        """Give the seconds since its output ceased, 0 before any came."""
-        return clock.uptime() - self.heard if self.heard else 0
+    def silent_seconds(self) -> float:
+        """Return the seconds since the last output, 0 before the first."""
+        return (
+            clock.uptime() - self.last_output_at if self.last_output_at else 0
+        )
 
     def stop(self) -> None:
-        """Close the connection; the engine drops the run."""
+        """Close the connection, so that the engine cancels the request."""
         self.stopped = True
         if self.connection is not None:
             self.connection.close()
 
-    def refused(self) -> None:
-        """Run the item again, a little later."""
-        self.progress.not_before = clock.uptime() + _REFUSED_PAUSE
+    def postpone(self) -> None:
+        """Postpone the item's next run after a refusal."""
+        self.progress.not_before = clock.uptime() + _REFUSED_PAUSE_SECONDS
 
 
-class ItemAttempts:
-    """Make runs: connect, send, gather the events."""
+class ItemExecutor:
+    """Execute runs: connect, send the request, collect the events."""
 
     def __init__(self, dialect: Dialect, fleet: Fleet) -> None:
         self._dialect = dialect
         self._fleet = fleet
 
-    def make(self, run: ItemRun) -> ItemOutcome | None:
-        """Run an item once; nothing where the engine did not run it."""
-        if run.board.sure(_PROVED_SECONDS).is_err():
-            run.refused()
+    def execute(self, run: ItemRun) -> ItemOutcome | None:
+        """Execute a run; return None if the engine did not run the item.
+
+        Raises RunFailedError where the output is incomplete, and OSError where
+        the connection fails.
+        """
+        if run.board.sure(_OWNERSHIP_MAX_AGE_SECONDS).is_err():
+            run.postpone()
             return None
         connection = self._connect(run)
         if run.stopped or run.job.state.ended:
             connection.close()
             return None
-        head = self._ask(run, connection)
-        return self._take_answer(run, connection, head)
+        head = self._send(run, connection)
+        return self._read_response(run, connection, head)
 
     def _connect(self, run: ItemRun) -> HttpConnection:
         try:
             run.connection = self._fleet.pool.take(run.engine)
         except OSError as error:
             self._fleet.health.failed(run.engine.engine, unreachable=True)
-            raise RunFailedError(f'connect: {error}') from error
+            raise RunFailedError(
+                f'cannot connect to engine: {error}'
+            ) from error
         return run.connection
 
-    def _ask(self, run: ItemRun, connection: HttpConnection) -> ResponseHead:
+    def _send(self, run: ItemRun, connection: HttpConnection) -> ResponseHead:
         item = run.progress.item
         headers = self._dialect.item_headers(
             item.item,
@@ -107,20 +115,20 @@
             run.progress.last_event,
             run.job.team,
         )
-        run.began = clock.uptime()
+        run.sent_at = clock.uptime()
         connection.send(
-            ITEM_METHOD, item.path, headers, item.body, _SILENT_SECONDS
+            ITEM_METHOD, item.path, headers, item.body, _IO_TIMEOUT_SECONDS
         )
         while True:
-            head = connection.read_head(_SILENT_SECONDS)
+            head = connection.read_head(_IO_TIMEOUT_SECONDS)
             answer = self._dialect.engine_answer(head.status, head.headers)
             if answer.request in {None, item.item}:
-                run.answered = True
+                run.response_started = True
                 return head
-            connection.skip_answer(head, _SILENT_SECONDS)
+            connection.skip_answer(head, _IO_TIMEOUT_SECONDS)
             connection.keep_no_longer()
 
-    def _take_answer(
+    def _read_response(
         self, run: ItemRun, connection: HttpConnection, head: ResponseHead
     ) -> ItemOutcome | None:
         answer = self._dialect.engine_answer(head.status, head.headers)
@@ -128,9 +136,9 @@
             connection.keep_no_longer()
         if head.status == HTTPStatus.OK:
             self._fleet.shared_health.answered(
-                run.engine, run.began, lambda: run.digest
+                run.engine, run.sent_at, lambda: run.digest
             )
-            self._gather(run, connection, head)
+            self._read_events(run, connection, head)
             self._fleet.health.succeeded(run.engine.engine)
             self._fleet.pool.give_back(
                 run.engine, connection, answer.idle_seconds
@@ -138,58 +146,62 @@
             return ItemOutcome.COMPLETED
         connection.keep_no_longer()
         if answer.not_run:
-            run.refused()
+            run.postpone()
             if answer.misdirected:
                 self._fleet.health.failed(run.engine.engine, unreachable=True)
                 self._fleet.shared_health.failed(
                     run.engine, FailureKind.REFUSED, None
                 )
             return None
-        return self._judge_failure(run, head)
+        return self._classify_failure(run, head)
 
-    def _judge_failure(
+    def _classify_failure(
         self, run: ItemRun, head: ResponseHead
     ) -> ItemOutcome | None:
         if head.status == HTTPStatus.UNPROCESSABLE_ENTITY:
             return ItemOutcome.GIVEN_UP
         if head.status == HTTPStatus.INTERNAL_SERVER_ERROR:
             run.progress.failures += 1
-        raise RunFailedError(f'engine said {head.status}', head.status)
+        raise RunFailedError(
+            f'engine responded with status {head.status}', head.status
+        )
 
-    def _gather(
+    def _read_events(
         self, run: ItemRun, connection: HttpConnection, head: ResponseHead
     ) -> None:
-        """Keep the events as they come, so that a stop loses none."""
+        """Store each event as it arrives, so that a stopped run keeps them."""
         splitter = EventSplitter()
-        for part in connection.read_parts(head, _SILENT_SECONDS):
+        for part in connection.read_parts(head, _IO_TIMEOUT_SECONDS):
             if run.stopped:
-                raise RunFailedError('stopped')
-            run.heard = clock.uptime()
+                raise RunFailedError('run was stopped')
+            run.last_output_at = clock.uptime()
             for event in splitter.feed(part):
-                _keep(run.progress, event)
+                _append_event(run.progress, event)
         if splitter.rest:
-            raise RunFailedError('ended within an event')
+            raise RunFailedError('response ended within an event')
         if not run.progress.texts:
-            raise RunFailedError('no events')
+            raise RunFailedError('response has no events')
 
 
-def _keep(progress: Progress, event: StreamEvent) -> None:
-    before = progress.last_event
+def _append_event(progress: Progress, event: StreamEvent) -> None:
+    previous = progress.last_event
     if event.number is None:
-        raise RunFailedError('an event without a number')
-    if before is not None and event.number != before + 1:
-        raise RunFailedError(f'event {event.number} after {before}')
-    if not _is_text(event.text):
+        raise RunFailedError('event without an event number')
+    if previous is not None and event.number != previous + 1:
+        raise RunFailedError(
+            f'event {event.number} received after event {previous}'
+        )
+    if not _is_encodable(event.text):
         raise RunFailedError(f'event {event.number} is not UTF-8')
     progress.last_event = event.number
     progress.texts.append(event.text)
 
 
-def _is_text(text: str) -> bool:
-    """Tell whether the log and answers can hold the data of an event."""
+def _is_encodable(text: str) -> bool:
+    """Return whether the text can be encoded as UTF-8."""
     try:
         text.encode()
     except UnicodeEncodeError:
-        # Bytes that are not UTF-8 were kept as surrogates.
+        # The decoder keeps invalid bytes as surrogates.
         return False
     return True
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/room.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/room.py
@@ -1,4 +1,4 @@
-"""The places of engines, as an owner sees them."""
+"""Engine slots that batch items may use, and which online requests need."""
 
 from collections.abc import Container, Sequence
 
@@ -20,37 +20,37 @@
 from bendlead_gateway.types import Engine, EngineId, ServiceName
 
 
-class ServiceMemory(Struct):
-    """Keep what was seen of a service over many rounds."""
+class HoldBackState(Struct):
+    """Whether batch items of a service are held back."""
 
-    #: Whether items are held back for online requests that are refused.
-    holding: bool = False
-    #: How many items that can wait no longer run meanwhile.
-    places_for_late: int = 0
+    #: Set while online requests are refused for lack of slots.
+    held_back: bool = False
+    #: Number of items that may run meanwhile, since they can wait no longer.
+    urgent_slots: int = 0
 
 
-class RoomMemory:
-    """Keep what was seen of each service over many rounds."""
+class HoldBackStates:
+    """Hold-back state of each service, kept across scheduling rounds."""
 
     def __init__(self) -> None:
-        self.services: dict[ServiceName, ServiceMemory] = {}
+        self.services: dict[ServiceName, HoldBackState] = {}
 
-    def of(self, service: ServiceName) -> ServiceMemory:
-        """Give what is kept of a service."""
-        return self.services.setdefault(service, ServiceMemory())
+    def of(self, service: ServiceName) -> HoldBackState:
+        """Return the state of a service, created on first use."""
+        return self.services.setdefault(service, HoldBackState())
 
     def summary(self) -> dict[str, object]:
-        """Tell which services press."""
+        """Return the state of each service for the state dump."""
         return {
-            name: {'held_back': one.holding}
-            for name, one in self.services.items()
+            name: {'held_back': service.held_back}
+            for name, service in self.services.items()
         }
 
 
-class Room:
-    """Tell which places items may take, and which they have to leave.
+class BatchCapacity:
+    """Compute which slots items may use and which they must release.
 
-    Engines are looked at once a round.
+    Make one per scheduling round: the engines of a service are read once.
     """
 
     def __init__(
@@ -60,64 +60,72 @@
     ) -> None:
         self._balancer = balancer
         self._precedence = precedence
-        self._looked: dict[ServiceName, _ServiceView] = {}
+        self._views: dict[ServiceName, _ServiceView] = {}
 
-    def surplus(self, engine: Engine, runs: int) -> int:
-        """Count those of the runs on an engine that must step aside."""
+    def excess_runs(self, engine: Engine, runs: int) -> int:
+        """Count the runs on an engine that must be preempted."""
         before = self._precedence.items_before(engine.engine)
-        kept = self._look(engine.service).kept
-        # An engine that takes nothing new is none of those looked at.
-        return surplus(self._balancer.view(engine), runs, kept, before)
+        headroom = self._view(engine.service).headroom
+        # The service's view leaves out engines that take no new requests.
+        return surplus(self._balancer.view(engine), runs, headroom, before)
 
-    def idle_places(self, service: ServiceName) -> ItemPlaces:
-        """Give the places that items may take."""
-        found = self._look(service)
+    def free_slots(self, service: ServiceName) -> ItemPlaces:
+        """Return the slots of a service that items may use."""
+        view = self._view(service)
         led = {
-            one.name
-            for one in found.engines
-            if self._precedence.leads(one.name)
+            engine.name
+            for engine in view.engines
+            if self._precedence.leads(engine.name)
         }
-        return ItemPlaces(found.engines, found.kept, led)
+        return ItemPlaces(view.engines, view.headroom, led)
 
-    def presses(self, service: ServiceName, refused: float) -> bool:
-        """Tell whether online requests, refused some seconds ago, lack places.
+    def lacks_online_slots(
+        self, service: ServiceName, refused_seconds: float
+    ) -> bool:
+        """Return whether online requests were refused for lack of slots.
 
-        Those of engines that take nothing new are none.
+        ``refused_seconds`` is the time since the last refusal. Engines that
+        take no new requests do not count.
         """
-        if not refused_lately(refused):
+        if not refused_lately(refused_seconds):
             return False
-        engines = self._look(service).engines
-        online = sum(one.online for one in engines)
-        return may_lack_places(online, _slots(engines))
+        engines = self._view(service).engines
+        online = sum(engine.online for engine in engines)
+        return may_lack_places(online, _count_slots(engines))
 
-    def idle(self, service: ServiceName, without: Container[EngineId]) -> int:
-        """Count the idle places of other engines that are not left alone."""
-        found = self._look(service)
+    def spare_slots(
+        self, service: ServiceName, excluded: Container[EngineId]
+    ) -> int:
+        """Count the free slots beyond headroom, without the excluded engines.
+
+        Engines that are out of rotation do not count.
+        """
+        view = self._view(service)
         return sum(
-            max(0, one.free - found.kept)
-            for one in found.engines
-            if not one.paused and one.name not in without
+            max(0, engine.free - view.headroom)
+            for engine in view.engines
+            if not engine.paused and engine.name not in excluded
         )
 
-    def places_for_late(self, service: ServiceName) -> int:
-        """Count the places that items keep here while requests lack some."""
-        slots = _slots(self._look(service).engines)
+    def urgent_slots(self, service: ServiceName) -> int:
+        """Count the slots for urgent items while online requests lack slots."""
+        slots = _count_slots(self._view(service).engines)
         return places_for_late(slots, self._precedence.owners)
 
-    def _look(self, service: ServiceName) -> '_ServiceView':
-        found = self._looked.get(service)
-        if found is None:
+    def _view(self, service: ServiceName) -> '_ServiceView':
+        view = self._views.get(service)
+        if view is None:
             engines = self._balancer.views(service)
-            kept = places_kept(engines, self._balancer.traffic)
-            found = _ServiceView(engines, kept)
-            self._looked[service] = found
-        return found
+            headroom = places_kept(engines, self._balancer.traffic)
+            view = _ServiceView(engines, headroom)
+            self._views[service] = view
+        return view
 
 
 class _ServiceView(Struct, frozen=True):
     engines: Sequence[EngineView]
-    kept: int
+    headroom: int
 
 
-def _slots(engines: Sequence[EngineView]) -> int:
-    return sum(one.slots for one in engines)
+def _count_slots(engines: Sequence[EngineView]) -> int:
+    return sum(engine.slots for engine in engines)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -1,4 +1,4 @@
-"""Run the items of held jobs in the places that online requests leave."""
+"""Run the items of owned jobs in slots that online requests do not need."""
 
 from collections import Counter
 
@@ -14,13 +14,13 @@
 from bendlead_gateway._jobs.candidates import Candidate, Candidates
 from bendlead_gateway._jobs.held import HeldJob, Progress
 from bendlead_gateway._jobs.item_run import (
-    ItemAttempts,
+    ItemExecutor,
     ItemRun,
     RunFailedError,
 )
 from bendlead_gateway._jobs.keeper import ShardKeeper
-from bendlead_gateway._jobs.room import Room, RoomMemory
-from bendlead_gateway._jobs.stops import RunStops
+from bendlead_gateway._jobs.room import BatchCapacity, HoldBackStates
+from bendlead_gateway._jobs.stops import RunStopper
 from bendlead_gateway._jobs.work import WorkWatch
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
@@ -38,13 +38,13 @@
     ServiceName,
 )
 
-_ROUND_SECONDS = 0.025
-#: Pause before an item that failed is run again (s).
-_FAILED_PAUSE = 0.3
+_ROUND_INTERVAL_SECONDS = 0.025
+#: Pause before an item is run again after a failure.
+_RETRY_PAUSE_SECONDS = 0.3
 
 
 class ItemRunner:
-    """Start, stop and finish runs of items."""
+    """Start, stop and finish the item runs of this process."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         self._keeper = keeper
         self._fleet = fleet
         self._loads = fleet.loads
-        self._attempts = ItemAttempts(dialect, fleet)
+        self._executor = ItemExecutor(dialect, fleet)
         self._log = log
         self._metrics = metrics
         self._pace = ItemPace()
@@ -69,64 +69,71 @@
         self._candidates = Candidates(
             keeper, fleet, self._pace, metrics, self._give_up
         )
-        self._memory = RoomMemory()
+        self._hold_back_states = HoldBackStates()
         self.drained = BacklogRates()
-        self._stops = RunStops(
-            keeper, self._candidates, fleet, self._memory, log, metrics
+        self._stopper = RunStopper(
+            keeper,
+            self._candidates,
+            fleet,
+            self._hold_back_states,
+            log,
+            metrics,
         )
 
     @property
     def running(self) -> int:
-        """Count the runs under way."""
+        """Return the number of active runs."""
         return len(self._runs)
 
     def summary(self) -> dict[str, object]:
-        """Tell how items fit beside online requests."""
-        return self._memory.summary()
+        """Return the hold-back state of each service for the state dump."""
+        return self._hold_back_states.summary()
 
     def wake(self) -> None:
-        """Look for work at once."""
+        """Start the next scheduling round now."""
         self._wake.set()
 
     def run(self) -> None:
-        """Keep idle places busy and step aside, for ever."""
+        """Run scheduling rounds forever: stop runs, then start items."""
         while True:
             self._precedence.meet(self._loads.item_owners())
-            room = Room(self._fleet.balancer, self._precedence)
-            self._stops.look(self._runs, room)
+            capacity = BatchCapacity(self._fleet.balancer, self._precedence)
+            self._stopper.check(self._runs, capacity)
             self._work.look(len(self._runs))
-            self._start_runs(room)
-            self._wake.wait(_ROUND_SECONDS)
+            self._start_runs(capacity)
+            self._wake.wait(_ROUND_INTERVAL_SECONDS)
             self._wake.clear()
 
-    def _start_runs(self, room: Room) -> None:
-        places: dict[ServiceName, ItemPlaces] = {}
-        running = Counter(one.engine.service for one in self._runs)
-        full: set[str] = set()
-        looked: set[ServiceName] = set()
+    def _start_runs(self, capacity: BatchCapacity) -> None:
+        free_slots: dict[ServiceName, ItemPlaces] = {}
+        running = Counter(run.engine.service for run in self._runs)
+        full_routes: set[str] = set()
+        tried_services: set[ServiceName] = set()
         for candidate in self._candidates.ranked():
-            if candidate.route.name in full:
+            if candidate.route.name in full_routes:
                 continue
             service = pick_service(candidate.route)
-            if self._try_engine(candidate, service, looked):
+            if self._start_trial(candidate, service, tried_services):
                 running[service] += 1
             elif self._may_start(candidate, service, running[service]):
-                if self._take_place(candidate, service, room, places):
+                if self._start_in_free_slot(
+                    candidate, service, capacity, free_slots
+                ):
                     running[service] += 1
                 else:
-                    full.add(candidate.route.name)
+                    full_routes.add(candidate.route.name)
 
-    def _take_place(
+    def _start_in_free_slot(
         self,
         candidate: Candidate,
         service: ServiceName,
-        room: Room,
-        places: dict[ServiceName, ItemPlaces],
+        capacity: BatchCapacity,
+        free_slots: dict[ServiceName, ItemPlaces],
     ) -> bool:
-        """Start an item in an idle place, if there is one for it."""
-        if service not in places:
-            places[service] = room.idle_places(service)
-        view = places[service].take(candidate.age)
+        """Start an item in a free slot; return whether there was one."""
+        if service not in free_slots:
+            free_slots[service] = capacity.free_slots(service)
+        view = free_slots[service].take(candidate.elapsed_share)
         if view is not None:
             self._start(candidate, view.engine)
         return view is not None
@@ -134,25 +141,27 @@
     def _may_start(
         self, candidate: Candidate, service: ServiceName, running: int
     ) -> bool:
-        """Tell whether an item may take a place beside those that run."""
+        """Return whether an item may start beside the running ones."""
         route = candidate.route
-        wait = self._candidates.wait(candidate.job, candidate.progress, route)
-        return self._stops.may_start(service, route, wait, running)
+        wait = self._candidates.wait_cost(
+            candidate.job, candidate.progress, route
+        )
+        return self._stopper.may_start(service, route, wait, running)
 
-    def _try_engine(
+    def _start_trial(
         self,
         candidate: Candidate,
         service: ServiceName,
-        looked: set[ServiceName],
+        tried_services: set[ServiceName],
     ) -> bool:
-        """Have an item try an engine that is left alone, if it is our turn.
+        """Start an item as the trial of an engine that is out of rotation.
 
-        Only one that failed nowhere yet: it is given up after some failures.
-        Each service is looked at once a round, for thousands may wait.
+        Only an item without failures: a failed trial counts towards giving it
+        up. Each service is checked once a round, as thousands may wait.
         """
-        if candidate.progress.failures or service in looked:
+        if candidate.progress.failures or service in tried_services:
             return False
-        looked.add(service)
+        tried_services.add(service)
         view = self._fleet.balancer.take_trial(service)
         if view is not None:
             self._start(candidate, view.engine)
@@ -167,7 +176,7 @@
             candidate.route,
         )
         run.progress.begin()
-        self._candidates.begin(candidate)
+        self._candidates.record_start(candidate)
         self._runs.add(run)
         self._loads.own.batch[engine.engine] += 1
         gevent.spawn(self._run_item, run)
@@ -175,25 +184,25 @@
     def _run_item(self, run: ItemRun) -> None:
         outcome = None
         try:
-            outcome = self._attempts.make(run)
+            outcome = self._executor.execute(run)
         except (RunFailedError, OSError) as error:
-            self._note_failure(run, error)
+            self._record_failure(run, error)
         finally:
-            self._conclude(run)
+            self._release_slot(run)
         progress = run.progress
         if outcome is None and progress.failures >= run.route.max_attempts:
             outcome = ItemOutcome.GIVEN_UP
         if outcome is not None:
             self._finish(run.board, run.job, progress, outcome)
         if outcome is ItemOutcome.COMPLETED:
-            self._learn(run)
+            self._observe_duration(run)
         self.wake()
 
-    def _learn(self, run: ItemRun) -> None:
-        """Take how long an item that is whole has held places."""
+    def _observe_duration(self, run: ItemRun) -> None:
+        """Update the run time estimate from a completed item."""
         self._pace.observe(run.progress.spent, run.progress.took)
 
-    def _conclude(self, run: ItemRun) -> None:
+    def _release_slot(self, run: ItemRun) -> None:
         self._runs.discard(run)
         run.progress.pause()
         self._loads.own.batch[run.engine.engine] -= 1
@@ -201,7 +210,7 @@
         if connection is not None and not connection.reusable:
             connection.close()
 
-    def _note_failure(self, run: ItemRun, error: Exception) -> None:
+    def _record_failure(self, run: ItemRun, error: Exception) -> None:
         ending = 'stopped' if run.stopped else 'failed'
         digest = '-' if run.stopped else run.digest
         self._metrics.items[ending] += 1
@@ -218,21 +227,21 @@
         )
         if not run.stopped:
             if isinstance(error, OSError):
-                answer = Break(run.digest, run.began, run.answered)
-                self._fleet.suspects.broke_off(run.engine, answer)
+                broken = Break(run.digest, run.sent_at, run.response_started)
+                self._fleet.suspects.broke_off(run.engine, broken)
             self._fleet.health.failed(run.engine.engine)
-            self._count_failure(run, error)
-            run.progress.not_before = clock.uptime() + _FAILED_PAUSE
+            self._report_failure(run, error)
+            run.progress.not_before = clock.uptime() + _RETRY_PAUSE_SECONDS
 
-    def _count_failure(self, run: ItemRun, error: Exception) -> None:
-        """Count a failure against the engine, unless it is our own."""
+    def _report_failure(self, run: ItemRun, error: Exception) -> None:
+        """Report an engine's failure, unless this process caused it."""
         cause = error if isinstance(error, OSError) else error.__cause__
         kind: FailureKind | None = FailureKind.ERROR
         if isinstance(cause, OSError):
             kind = kind_of(cause)
         elif isinstance(error, RunFailedError) and error.status:
             kind = kind_of_answer(error.status)
-        digest = run.digest if run.began else None
+        digest = run.digest if run.sent_at else None
         self._fleet.shared_health.failed(run.engine, kind, digest)
 
     def _finish(
@@ -250,21 +259,23 @@
         if outcome is ItemOutcome.COMPLETED:
             self._fleet.suspects.answered(lambda: job.digest(progress))
             text = '\n'.join(progress.texts)
-        found = ItemResult(progress.item.item, outcome, text)
+        item_result = ItemResult(progress.item.item, outcome, text)
         self._metrics.items[outcome.value] += 1
-        gevent.spawn(self._record, board, job, found)
+        gevent.spawn(self._record, board, job, item_result)
 
     def _give_up(self, board: Board, job: HeldJob, progress: Progress) -> None:
         self._finish(board, job, progress, ItemOutcome.GIVEN_UP)
 
-    def _record(self, board: Board, job: HeldJob, found: ItemResult) -> None:
-        recorded = board.record(job, found)
+    def _record(
+        self, board: Board, job: HeldJob, item_result: ItemResult
+    ) -> None:
+        recorded = board.record(job, item_result)
         failure = recorded.err_value if recorded.is_err() else '-'
         self._log.event(
             'item-recorded',
             job=job.job,
-            item=found.item,
-            outcome=found.outcome.value,
-            characters=len(found.text),
+            item=item_result.item,
+            outcome=item_result.outcome.value,
+            characters=len(item_result.text),
             failure=failure,
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/stops.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/stops.py
@@ -1,4 +1,4 @@
-"""Which runs of items are stopped, and for what."""
+"""Stop item runs that must make room, move or end."""
 
 import enum
 from collections.abc import Iterable, Sequence
@@ -8,7 +8,7 @@
 from bendlead_gateway._jobs.candidates import Candidates
 from bendlead_gateway._jobs.item_run import ItemRun
 from bendlead_gateway._jobs.keeper import ShardKeeper
-from bendlead_gateway._jobs.room import Room, RoomMemory
+from bendlead_gateway._jobs.room import BatchCapacity, HoldBackStates
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.moves import RunView, runs_to_move
@@ -18,120 +18,131 @@
 
 
 class StopCause(enum.Enum):
-    """Say why a run was stopped."""
+    """Why a run was stopped; the value is a label of a metric."""
 
-    #: Online requests, or items of owners that go first, want its place.
-    PLACE_WANTED = 'place_wanted'
-    #: Online requests are refused for want of places.
+    #: Online requests or items of a higher-ranked owner need its slot.
+    PREEMPTED = 'place_wanted'
+    #: Online requests are refused for lack of slots.
     HELD_BACK = 'held_back'
-    #: Its engine leaves, is left alone or has fallen silent.
+    #: Its engine drains, is out of rotation or has stopped sending.
     MOVED = 'moved'
-    #: Its job ended, or its shard is held elsewhere.
+    #: Its job has ended, or another process owns the shard.
     UNWANTED = 'unwanted'
 
 
-class RunStops:
-    """Stop runs; each item goes on later behind its last event."""
+class RunStopper:
+    """Decide which runs to stop; each item resumes after its last event."""
 
     def __init__(
         self,
         keeper: ShardKeeper,
         candidates: Candidates,
         fleet: Fleet,
-        memory: RoomMemory,
+        states: HoldBackStates,
         log: Log,
         metrics: Metrics,
     ) -> None:
         self._keeper = keeper
         self._candidates = candidates
         self._fleet = fleet
-        self._memory = memory
+        self._states = states
         self._log = log
         self._metrics = metrics
 
-    def look(self, runs: Iterable[ItemRun], room: Room) -> None:
-        """Stop the runs that must end now."""
-        going = [one for one in runs if not one.stopped]
-        self._stop_unwanted(going)
-        self._step_aside([one for one in going if not one.stopped], room)
-        self._hold_back([one for one in going if not one.stopped], room)
-        self._move([one for one in going if not one.stopped], room)
+    def check(self, runs: Iterable[ItemRun], capacity: BatchCapacity) -> None:
+        """Stop the runs that must end in this round."""
+        active = [run for run in runs if not run.stopped]
+        self._stop_unwanted(active)
+        self._preempt([run for run in active if not run.stopped], capacity)
+        self._hold_back([run for run in active if not run.stopped], capacity)
+        self._move([run for run in active if not run.stopped], capacity)
 
     def may_start(
         self, service: ServiceName, route: Route, wait: Wait, running: int
     ) -> bool:
-        """Tell whether an item may start beside those that run there."""
-        memory = self._memory.of(service)
-        if not memory.holding or not self._yields(service, route):
+        """Return whether an item may start beside a service's running items."""
+        state = self._states.of(service)
+        if not state.held_back or not self._is_outranked(service, route):
             return True
-        return wait is Wait.NOW and running < memory.places_for_late
+        return wait is Wait.NOW and running < state.urgent_slots
 
     def _stop_unwanted(self, runs: Sequence[ItemRun]) -> None:
-        held = self._keeper.boards.values()
+        owned = self._keeper.boards.values()
         for run in runs:
-            if run.board not in held or run.job.state.ended:
+            if run.board not in owned or run.job.state.ended:
                 self._stop(run, StopCause.UNWANTED)
 
-    def _step_aside(self, runs: Sequence[ItemRun], room: Room) -> None:
-        """Stop runs on engines where online requests want the places."""
+    def _preempt(
+        self, runs: Sequence[ItemRun], capacity: BatchCapacity
+    ) -> None:
+        """Stop the least urgent runs on engines that lack slots."""
         by_engine: dict[EngineId, list[ItemRun]] = {}
-        for one in runs:
-            by_engine.setdefault(one.engine.engine, []).append(one)
-        for there in by_engine.values():
-            over = room.surplus(there[0].engine, len(there))
-            if over > 0:
-                there.sort(key=self._urgency)
-                for run in there[-over:]:
-                    self._stop(run, StopCause.PLACE_WANTED)
-
-    def _hold_back(self, runs: Sequence[ItemRun], room: Room) -> None:
-        """Give places back while online requests are refused."""
+        for run in runs:
+            by_engine.setdefault(run.engine.engine, []).append(run)
+        for engine_runs in by_engine.values():
+            excess = capacity.excess_runs(
+                engine_runs[0].engine, len(engine_runs)
+            )
+            if excess > 0:
+                engine_runs.sort(key=self._urgency)
+                for run in engine_runs[-excess:]:
+                    self._stop(run, StopCause.PREEMPTED)
+
+    def _hold_back(
+        self, runs: Sequence[ItemRun], capacity: BatchCapacity
+    ) -> None:
+        """Hold items back while online requests are refused."""
         by_service = _by_service(runs)
-        for service in self._memory.services.keys() | by_service.keys():
-            there = by_service.get(service, [])
-            refused = self._fleet.refusals.since(service)
-            holding = room.presses(service, refused)
-            if holding:
-                self._give_back(service, there, room)
-            self._note(service, holding, len(there))
-
-    def _give_back(
-        self, service: ServiceName, runs: list[ItemRun], room: Room
+        for service in self._states.services.keys() | by_service.keys():
+            service_runs = by_service.get(service, [])
+            refused_seconds = self._fleet.refusals.since(service)
+            held_back = capacity.lacks_online_slots(service, refused_seconds)
+            if held_back:
+                self._release_slots(service, service_runs, capacity)
+            self._update_state(service, held_back, len(service_runs))
+
+    def _release_slots(
+        self,
+        service: ServiceName,
+        runs: list[ItemRun],
+        capacity: BatchCapacity,
     ) -> None:
-        memory = self._memory.of(service)
-        memory.places_for_late = room.places_for_late(service)
+        state = self._states.of(service)
+        state.urgent_slots = capacity.urgent_slots(service)
         runs.sort(key=self._urgency)
         kept = 0
         for run in runs:
-            if not self._yields(service, run.route):
+            if not self._is_outranked(service, run.route):
                 continue
-            wait = self._candidates.wait(run.job, run.progress, run.route)
-            if wait is Wait.NOW and kept < memory.places_for_late:
+            wait = self._candidates.wait_cost(run.job, run.progress, run.route)
+            if wait is Wait.NOW and kept < state.urgent_slots:
                 kept += 1
             else:
                 self._stop(run, StopCause.HELD_BACK)
 
-    def _move(self, runs: Sequence[ItemRun], room: Room) -> None:
-        """Let runs go on elsewhere before their engines end."""
+    def _move(self, runs: Sequence[ItemRun], capacity: BatchCapacity) -> None:
+        """Stop runs on failing engines if other engines have free slots."""
         by_service = _by_service(runs)
-        for service, there in by_service.items():
-            views = [self._view(one) for one in there]
-            bad = {
+        for service, service_runs in by_service.items():
+            views = [self._view(run) for run in service_runs]
+            failing = {
                 run.engine.engine
-                for run, view in zip(there, views, strict=True)
+                for run, view in zip(service_runs, views, strict=True)
                 if view.stalled or view.endangered
             }
-            if not bad:
+            if not failing:
                 continue
-            for number in runs_to_move(views, room.idle(service, bad)):
+            for number in runs_to_move(
+                views, capacity.spare_slots(service, failing)
+            ):
                 if views[number].stalled:
-                    engine = there[number].engine.engine
+                    engine = service_runs[number].engine.engine
                     self._fleet.health.failed(engine, unreachable=True)
-                    self._tell_silence(there[number])
-                self._stop(there[number], StopCause.MOVED)
+                    self._report_silence(service_runs[number])
+                self._stop(service_runs[number], StopCause.MOVED)
 
-    def _tell_silence(self, run: ItemRun) -> None:
-        """Have the fleet know, or the run would go back to its engine."""
+    def _report_silence(self, run: ItemRun) -> None:
+        """Report the engine to the fleet, so that the item goes elsewhere."""
         self._fleet.shared_health.failed(
             run.engine, FailureKind.SILENT, run.digest
         )
@@ -139,33 +150,36 @@
     def _view(self, run: ItemRun) -> RunView:
         engine = run.engine
         return RunView(
-            self._candidates.left(run.progress),
-            run.silent,
+            self._candidates.remaining_seconds(run.progress),
+            run.silent_seconds,
             leaving=not self._fleet.engines.takes_requests(engine),
             alone=self._fleet.balancer.view(engine).paused,
         )
 
-    def _note(self, service: ServiceName, holding: bool, runs: int) -> None:
-        memory = self._memory.of(service)
-        if memory.holding == holding:
+    def _update_state(
+        self, service: ServiceName, held_back: bool, runs: int
+    ) -> None:
+        state = self._states.of(service)
+        if state.held_back == held_back:
             return
-        memory.holding = holding
-        self._metrics.load.items_held_back += holding
+        state.held_back = held_back
+        self._metrics.load.items_held_back += held_back
         self._log.event(
-            'items-held-back' if holding else 'items-released',
+            'items-held-back' if held_back else 'items-released',
             service=service,
             runs=runs,
             refused_s=round(self._fleet.refusals.since(service), 3),
-            places_for_late=memory.places_for_late,
+            places_for_late=state.urgent_slots,
         )
 
-    def _yields(self, service: ServiceName, route: Route) -> bool:
-        """Tell whether online requests of a service go before an item."""
+    def _is_outranked(self, service: ServiceName, route: Route) -> bool:
+        """Return whether an online route of the service outranks the route."""
         known = self._fleet.configuration.known
         return known is not None and any(
-            one.kind is not RouteKind.BATCH and one.priority < route.priority
-            for one in known.routes
-            if any(share.service == service for share in one.shares)
+            other.kind is not RouteKind.BATCH
+            and other.priority < route.priority
+            for other in known.routes
+            if any(share.service == service for share in other.shares)
         )
 
     def _stop(self, run: ItemRun, cause: StopCause) -> None:
@@ -177,7 +191,7 @@
 
 
 def _by_service(runs: Iterable[ItemRun]) -> dict[ServiceName, list[ItemRun]]:
-    found: dict[ServiceName, list[ItemRun]] = {}
-    for one in runs:
-        found.setdefault(one.engine.service, []).append(one)
-    return found
+    by_service: dict[ServiceName, list[ItemRun]] = {}
+    for run in runs:
+        by_service.setdefault(run.engine.service, []).append(run)
+    return by_service
