--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -70,7 +70,7 @@
             keeper, fleet, self._pace, metrics, self._give_up
         )
         self._hold_back_states = HoldBackStates()
-        self.drained = BacklogRates()
+        self.backlog_rates = BacklogRates()
         self._stopper = RunStopper(
             keeper,
             self._candidates,
@@ -252,7 +252,7 @@
         outcome: ItemOutcome,
     ) -> None:
         progress.finished = True
-        self.drained.finished(
+        self.backlog_rates.finished(
             job.host, job.team, progress.item.tokens, clock.uptime()
         )
         text = ''
