--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/stops.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -5,10 +5,10 @@
 
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
 from bendlead_gateway._jobs.candidates import Candidates
 from bendlead_gateway._jobs.item_run import ItemRun
 from bendlead_gateway._jobs.keeper import ShardKeeper
-from bendlead_gateway._jobs.room import BatchCapacity, HoldBackStates
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.moves import RunView, runs_to_move
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -10,6 +10,7 @@
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._health.kinds import kind_of, kind_of_answer
 from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
 from bendlead_gateway._jobs.board import Board
 from bendlead_gateway._jobs.candidates import Candidate, Candidates
 from bendlead_gateway._jobs.held import HeldJob, Progress
@@ -19,8 +20,7 @@
     RunFailedError,
 )
 from bendlead_gateway._jobs.keeper import ShardKeeper
-from bendlead_gateway._jobs.room import BatchCapacity, HoldBackStates
-from bendlead_gateway._jobs.stops import RunStopper
+from bendlead_gateway._jobs.run_stopper import RunStopper
 from bendlead_gateway._jobs.work import WorkWatch
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
