--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -34,7 +34,7 @@
 
 
 class ItemRun(Struct, eq=False):
-    """A run of an item, with the connection that a stop closes."""
+    """A run of an item, which can be stopped from another greenlet."""
 
     engine: Engine
     board: Board
@@ -43,10 +43,10 @@
     route: Route
     connection: HttpConnection | None = None
     stopped: bool = False
-    #: When the request was sent, and whether the response head has arrived.
+    #: When the request was sent (uptime, s); whether a response has begun.
     sent_at: float = 0
     response_started: bool = False
-    #: When output last arrived, 0 for never.
+    #: When output last arrived (uptime, s), 0 for never.
     last_output_at: float = 0
 
     @property
