--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/__init__.py
@@ -1,1 +1,1 @@
-"""Take clients' requests to engines and their answers back."""
+"""Forward online requests to engines and relay their responses."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
@@ -1,4 +1,4 @@
-"""Let requests on to the engines in turn, hold them, or refuse them."""
+"""Admit, queue or refuse online requests."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 class AdmissionControl:
-    """Judge requests by the wait for a place and by the turn of their team."""
+    """Admit requests by their expected wait and the use of their team."""
 
     def __init__(
         self,
@@ -34,31 +34,32 @@
     def admit(
         self, exchange: Exchange, service: ServiceName, wait: float
     ) -> Refusal | None:
-        """Refuse a request before any engine was asked, or let it go on.
+        """Return why to refuse the request, or ``None`` to admit it.
 
-        It may be held for a while before.
+        ``wait`` is the expected wait (s) for a slot. Blocks while the request
+        is queued; requests already sent to an engine are always admitted.
         """
-        if exchange.sends or exchange.released or wait <= 0:
+        if exchange.sends or exchange.dequeued or wait <= 0:
             return None
-        asked = self._asked(exchange, service)
-        refusal = judge(asked, wait, random.random)
+        admission_request = self._admission_request(exchange, service)
+        refusal = judge(admission_request, wait, random.random)
         if refusal is None:
             return None
-        not_held = self._room.hold(exchange, service)
-        if not_held is None:
-            exchange.released = True
+        not_queued = self._room.hold(exchange, service)
+        if not_queued is None:
+            exchange.dequeued = True
             return None
-        reason = f'{refusal.reason}; not held: {not_held}'
+        reason = f'{refusal.reason}; not queued: {not_queued}'
         refusal = replace(refusal, reason=reason)
         if exchange.team:
             self._metrics.load.no_place[exchange.team] += 1
         return refusal
 
     def finished(self, service: ServiceName) -> None:
-        """Learn that a request has ended, and left its place."""
+        """Record that a request has ended and freed its slot."""
         self._room.finished(service)
 
-    def _asked(
+    def _admission_request(
         self, exchange: Exchange, service: ServiceName
     ) -> AdmissionRequest:
         team = self._configuration.team_named(exchange.team)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -1,4 +1,4 @@
-"""Ask one engine for one request."""
+"""Send a request to one engine and relay its response."""
 
 from http import HTTPStatus
 
@@ -37,19 +37,19 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import Engine
 
-#: Raised into an attempt whose answer nobody waits for any more.
-_NOBODY_WAITS = (
+#: Raised into an attempt whose response is no longer needed.
+_ABANDONED = (
     ClientGoneError,
     DeadlineError,
     ServerEndsError,
     gevent.GreenletExit,
 )
-#: The rest of a refusal is awaited this long (s) to keep the connection.
-_REFUSAL_SECONDS = 0.03
+#: Longest read of a refusal's body so that the connection can be reused.
+_REFUSAL_READ_SECONDS = 0.03
 
 
 class Attempts:
-    """Make attempts: connect, send, judge the head, relay the answer."""
+    """Run attempts: connect, send, check the head, relay the response."""
 
     def __init__(
         self, dialect: Dialect, fleet: Fleet, log: Log, metrics: Metrics
@@ -63,7 +63,11 @@
         self._second_tries = SecondTries()
 
     def make(self, exchange: Exchange, view: EngineView) -> None:
-        """Have the engine answer the request, or raise what became of it."""
+        """Serve the request from this engine.
+
+        Raises ``NotRunError``, ``UnknownOutcomeError`` or
+        ``BrokenStreamError`` where the engine gives no complete response.
+        """
         engine = view.engine
         name = view.name
         loads = self._fleet.loads
@@ -73,17 +77,17 @@
             self._second_tries.earn()
         loads.start_online(name)
         connection = None
-        idle = None
+        idle_seconds = None
         try:
             connection = self._connect(engine)
-            idle = self._converse(exchange, view, connection)
-        except _NOBODY_WAITS:
-            self._fleet.suspects.left(engine, exchange.digest, exchange.began)
+            idle_seconds = self._run(exchange, view, connection)
+        except _ABANDONED:
+            self._fleet.suspects.left(engine, exchange.digest, exchange.sent_at)
             raise
         finally:
             loads.own.online[name] -= 1
             if connection is not None:
-                self._fleet.pool.give_back(engine, connection, idle)
+                self._fleet.pool.give_back(engine, connection, idle_seconds)
 
     def _connect(self, engine: Engine) -> HttpConnection:
         try:
@@ -92,16 +96,16 @@
             if isinstance(error, ConnectionRefusedError):
                 self._fleet.suspects.ends.refused(engine)
             paused = self._health.failed(engine.engine, unreachable=True)
-            self._note(engine, Step.CONNECT, error, paused)
+            self._log_failure(engine, Step.CONNECT, error, paused)
             self._shared.failed(engine, kind_of(error), None)
             raise UnreachableError(f'connect: {error}') from error
 
-    def _converse(
+    def _run(
         self, exchange: Exchange, view: EngineView, connection: HttpConnection
     ) -> float | None:
-        """Send the request and relay the answer; give the idle seconds."""
+        """Relay the response; return the keep-alive time (s) of the engine."""
         engine = view.engine
-        head = self._ask(exchange, view, connection)
+        head = self._send_and_read_head(exchange, view, connection)
         self._health.heard(engine.engine)
         answer = self._dialect.engine_answer(head.status, head.headers)
         if answer.closing:
@@ -111,60 +115,62 @@
             if answer.misdirected:
                 self._health.failed(engine.engine, unreachable=True)
                 self._shared.failed(engine, FailureKind.REFUSED, None)
-            raise NotRunError(f'engine said {head.status}, not run')
+            raise NotRunError(f'engine answered {head.status}, request not run')
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             paused = self._health.failed(engine.engine)
-            self._note(engine, Step.HEAD, f'status {head.status}', paused)
+            self._log_failure(
+                engine, Step.HEAD, f'status {head.status}', paused
+            )
             kind = kind_of_answer(head.status)
             self._shared.failed(engine, kind, exchange.digest)
-            if exchange.may_replace:
+            if exchange.may_fail_over:
                 connection.keep_no_longer()
-                raise UnknownOutcomeError(f'engine said {head.status}')
+                raise UnknownOutcomeError(f'engine answered {head.status}')
         else:
             self._shared.answered(
-                engine, exchange.began, lambda: exchange.digest
+                engine, exchange.sent_at, lambda: exchange.digest
             )
         self._relay(exchange, engine, connection, head)
         if head.status < HTTPStatus.MULTIPLE_CHOICES:
             self._fleet.suspects.answered(lambda: exchange.digest)
         return answer.idle_seconds
 
-    def _ask(
+    def _send_and_read_head(
         self, exchange: Exchange, view: EngineView, connection: HttpConnection
     ) -> ResponseHead:
         engine = view.engine
-        limit = self._silence_limit(exchange, view)
-        kept = connection.used
+        timeout = self._head_timeout(exchange, view)
+        reused = connection.used
         silent = False
-        exchange.asked = True
-        exchange.began = clock.uptime()
+        exchange.in_flight = True
+        exchange.sent_at = clock.uptime()
         try:
             self._send(exchange, engine, connection)
-            return self._own_head(exchange, connection, limit)
+            return self._read_own_head(exchange, connection, timeout)
         except OSError as error:
             connection.keep_no_longer()
             silent = isinstance(error, SilentPeerError)
-            if silent and kept:
-                # Others that are kept may have fallen silent with it.
+            if silent and reused:
+                # Other idle connections may be dead as well.
                 self._fleet.pool.forget_all()
             paused = self._health.failed(
-                engine.engine, unreachable=silent and limit is None
+                engine.engine, unreachable=silent and timeout is None
             )
-            self._note(engine, Step.HEAD, error, paused)
-            kind = kind_without_answer(error, replaced=limit is not None)
+            self._log_failure(engine, Step.HEAD, error, paused)
+            kind = kind_without_answer(error, replaced=timeout is not None)
             self._shared.failed(engine, kind, exchange.digest)
-            self._broke_off(exchange, engine, answered=False)
+            self._report_broken(exchange, engine, answered=False)
             raise UnknownOutcomeError(f'no answer: {error}') from error
         finally:
-            if limit is not None and not silent:
+            if timeout is not None and not silent:
                 self._second_tries.give_back()
 
-    def _silence_limit(
+    def _head_timeout(
         self, exchange: Exchange, view: EngineView
     ) -> float | None:
-        """Give how long (s) a silent engine is awaited, if not to the end."""
-        if view.free <= 0 or not exchange.may_replace:
-            # Where no place is free silence tells nothing.
+        """Return the time (s) after which to retry elsewhere, if at all."""
+        if view.free <= 0 or not exchange.may_fail_over:
+            # The request may be queued at the engine, so silence is no fault.
             return None
         service = view.engine.service
         others = self._fleet.balancer.views(service, exchange.tried)
@@ -179,7 +185,7 @@
         headers = self._dialect.engine_headers(
             passed_on(request.headers),
             engine.engine,
-            exchange.left,
+            exchange.seconds_left,
             exchange.last_event,
             exchange.team,
         )
@@ -188,18 +194,18 @@
             request.target,
             headers,
             request.body,
-            exchange.read_patience,
+            exchange.read_timeout,
         )
 
-    def _own_head(
+    def _read_own_head(
         self,
         exchange: Exchange,
         connection: HttpConnection,
-        limit: float | None,
+        timeout: float | None,
     ) -> ResponseHead:
-        """Read past surplus answers to earlier requests."""
+        """Read the head of this request, skipping late ones of others."""
         while True:
-            head = connection.read_head(limit or exchange.read_patience)
+            head = connection.read_head(timeout or exchange.read_timeout)
             answer = self._dialect.engine_answer(head.status, head.headers)
             if answer.request in {None, exchange.facts.request}:
                 return head
@@ -208,16 +214,16 @@
                 request=exchange.facts.request,
                 belongs_to=answer.request,
             )
-            connection.skip_answer(head, exchange.read_patience)
+            connection.skip_answer(head, exchange.read_timeout)
             connection.keep_no_longer()
 
     def _read_refusal(
         self, connection: HttpConnection, head: ResponseHead
     ) -> None:
         try:
-            connection.read_rest(head, _REFUSAL_SECONDS)
+            connection.read_rest(head, _REFUSAL_READ_SECONDS)
         except BrokenAnswerError:
-            # The refusal counts; only the connection is of no more use.
+            # The refusal is valid; only the connection cannot be reused.
             connection.keep_no_longer()
 
     def _relay(
@@ -234,22 +240,22 @@
             connection.close()
             silent = isinstance(broken.__cause__, SilentPeerError)
             paused = self._health.failed(engine.engine, unreachable=silent)
-            self._note(engine, Step.BODY, broken, paused)
+            self._log_failure(engine, Step.BODY, broken, paused)
             self._shared.failed(
                 engine,
                 FailureKind.SILENT if silent else FailureKind.BROKEN,
                 exchange.digest,
             )
-            self._broke_off(exchange, engine, answered=True)
+            self._report_broken(exchange, engine, answered=True)
             raise
 
-    def _broke_off(
+    def _report_broken(
         self, exchange: Exchange, engine: Engine, *, answered: bool
     ) -> None:
-        answer = Break(exchange.digest, exchange.began, answered)
+        answer = Break(exchange.digest, exchange.sent_at, answered)
         self._fleet.suspects.broke_off(engine, answer)
 
-    def _note(
+    def _log_failure(
         self, engine: Engine, step: Step, error: object, paused: bool
     ) -> None:
         self._metrics.engine_failures[step.value] += 1
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/events.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/events.py
@@ -1,14 +1,14 @@
-"""Split a stream into its events, which may come in any pieces."""
+"""Incremental parser for server-sent events."""
 
 from collections.abc import Iterator
 
 from msgspec import Struct
 
-_BLANK = b'\n\n'
+_EVENT_END = b'\n\n'
 
 
 class StreamEvent(Struct, frozen=True):
-    """Hold one whole event as it came, its number and its data."""
+    """Complete event: its bytes, its numeric id if any, and its data."""
 
     raw: bytes
     number: int | None
@@ -16,28 +16,28 @@
 
 
 class EventSplitter:
-    """Gather bytes and give out whole events."""
+    """Buffer received bytes and split them into complete events."""
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._remainder = b''
 
     @property
     def rest(self) -> bytes:
-        """Show the bytes behind the last whole event."""
-        return self._rest
+        """Return the bytes received after the last complete event."""
+        return self._remainder
 
     def feed(self, part: bytes) -> Iterator[StreamEvent]:
-        """Yield the events that a part completes."""
-        gathered = self._rest + part
-        if b'\r' in gathered:
-            gathered = gathered.replace(b'\r\n', b'\n')
-        *whole, self._rest = gathered.split(_BLANK)
-        for raw in whole:
+        """Add received bytes and yield the events that they complete."""
+        buffered = self._remainder + part
+        if b'\r' in buffered:
+            buffered = buffered.replace(b'\r\n', b'\n')
+        *complete, self._remainder = buffered.split(_EVENT_END)
+        for raw in complete:
             if raw:
-                yield _event(raw)
+                yield _parse_event(raw)
 
 
-def _event(raw: bytes) -> StreamEvent:
+def _parse_event(raw: bytes) -> StreamEvent:
     number = None
     texts = []
     for line in raw.decode('utf-8', 'surrogateescape').split('\n'):
@@ -47,4 +47,4 @@
             number = int(text) if text.isdigit() else None
         elif name == 'data':
             texts.append(text)
-    return StreamEvent(raw + _BLANK, number, '\n'.join(texts))
+    return StreamEvent(raw + _EVENT_END, number, '\n'.join(texts))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
@@ -1,4 +1,4 @@
-"""What is known of one client request while it is served."""
+"""State of one client request while it is served."""
 
 from bendlead_store import clock
 from msgspec import Struct, field
@@ -8,12 +8,12 @@
 from bendlead_gateway._suspects.digest import RequestDigest, digest_request
 from bendlead_gateway.types import EngineId, RequestFacts, Route, TeamName
 
-#: Reads time out this much (s) after the request's own deadline.
-_READ_SLACK = 0.5
+#: Reads time out this long after the deadline, which thus fires first.
+_READ_MARGIN_SECONDS = 0.5
 
 
 class Choice(Struct):
-    """Keep which engine was chosen and what its load was taken for."""
+    """Chosen engine and the load that was assumed for it, as logged."""
 
     engine: str = '-'
     online: int = 0
@@ -21,39 +21,39 @@
 
 
 class Exchange(Struct):
-    """Keep one request, its client and what its attempts came to."""
+    """Client request with its response and the outcome of its attempts."""
 
     request: Request
     responder: Responder
     facts: RequestFacts
     route: Route
     deadline: float
-    #: Whose request it is; nobody's where callers need no key.
+    #: Empty where callers need no key.
     team: TeamName = TeamName('')
     tried: set[EngineId] = field(default_factory=set)
     choice: Choice = field(default_factory=Choice)
     runs: int = 0
-    #: Whether an engine may have the request now.
-    asked: bool = False
+    #: Whether an engine may be running the request now.
+    in_flight: bool = False
     sends: int = 0
-    #: When the latest send began (s).
-    began: float = 0
+    #: Start of the latest send, in seconds of uptime.
+    sent_at: float = 0
     last_event: int | None = None
     first_event: float = 0
     status: int = 0
     failure: str = '-'
     quarantined: bool = False
-    #: How its team stood to its share when it was last judged.
+    #: The team's use of its share at the latest admission check.
     turn: Turn = FREE
-    #: Seconds for which it was held for a place.
-    held: float = 0
-    #: Whether it was held, and has a place now.
-    released: bool = False
+    #: Time spent in the request queue.
+    queued_seconds: float = 0
+    #: Whether it was queued and then admitted.
+    dequeued: bool = False
     _digest: RequestDigest | None = None
 
     @property
     def digest(self) -> RequestDigest:
-        """Name the request, whichever attempt of its caller this is."""
+        """Return the digest, which is the same when the client retries."""
         if self._digest is None:
             request = self.request
             self._digest = digest_request(
@@ -66,49 +66,49 @@
         return self._digest
 
     @property
-    def left(self) -> float:
-        """Give the seconds left for the whole request."""
+    def seconds_left(self) -> float:
+        """Return the seconds until the deadline."""
         return self.deadline - clock.uptime()
 
     @property
-    def read_patience(self) -> float:
-        """Give a time for reads that lets the deadline come first."""
-        return max(self.left, 0) + _READ_SLACK
+    def read_timeout(self) -> float:
+        """Return the read timeout (s), which is later than the deadline."""
+        return max(self.seconds_left, 0) + _READ_MARGIN_SECONDS
 
     @property
-    def waited(self) -> float:
-        """Give the seconds since the request was received."""
+    def elapsed(self) -> float:
+        """Return the seconds since the request was received."""
         return clock.uptime() - self.request.received
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any engine may have run the request."""
-        return self.asked or self.runs > 0
+        """Return whether any engine may have run the request."""
+        return self.in_flight or self.runs > 0
 
     @property
     def may_run_again(self) -> bool:
-        """Tell whether another engine may run the request."""
+        """Return whether the route allows one more run."""
         return self.route.repeatable and self.runs < self.route.max_attempts
 
     @property
-    def may_replace(self) -> bool:
-        """Tell whether an engine's failure is better tried elsewhere."""
-        spent = self.runs + 1
+    def may_fail_over(self) -> bool:
+        """Return whether to retry on another engine if this one fails."""
+        runs_after = self.runs + 1
         return (
             self.route.repeatable
             and not self.responder.started
-            and spent < self.route.max_attempts
-            and self.left > self.route.target
+            and runs_after < self.route.max_attempts
+            and self.seconds_left > self.route.target
         )
 
     @property
     def can_be_retried(self) -> bool:
-        """Tell whether a failure of the next engine can be made good."""
-        return self.may_replace and not self.runs
+        """Return whether a failure of the first engine can be retried."""
+        return self.may_fail_over and not self.runs
 
     def answer(
         self, status: int, headers: list[tuple[str, str]] | None = None
     ) -> None:
-        """Give the client an answer of our own."""
+        """Send the client a response without a body, made by this process."""
         self.status = status
         self.responder.answer(status, headers or ())
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/outcomes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/outcomes.py
@@ -1,10 +1,10 @@
-"""How an attempt at an engine can fail."""
+"""Errors raised when an attempt at an engine fails."""
 
 import enum
 
 
 class Step(enum.Enum):
-    """Name the step at which an attempt failed."""
+    """Step of an attempt, as logged with its failure."""
 
     CONNECT = 'connect'
     HEAD = 'head'
@@ -12,20 +12,20 @@
 
 
 class NotRunError(Exception):
-    """The engine did not run the request: it says so or never got it."""
+    """The engine did not run the request, so any engine may get it next."""
 
 
 class UnreachableError(NotRunError):
-    """No connection to the engine came up."""
+    """Connecting to the engine failed."""
 
 
 class UnknownOutcomeError(Exception):
-    """The engine may have run the request, and no whole answer came."""
+    """The engine may have run the request but gave no complete response."""
 
 
 class BrokenStreamError(Exception):
-    """The answer broke off after the client had got a part of it."""
+    """The response broke off after a part of it went to the client."""
 
 
 class DeadlineError(Exception):
-    """The client's or the route's time is over."""
+    """The deadline of the client or the timeout of the route has passed."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -1,4 +1,4 @@
-"""Serve one client request: choose engines, retry, refuse, give up."""
+"""Online request path: choose engines, retry, refuse, time out."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -38,24 +38,23 @@
     TeamName,
 )
 
-#: Below this many seconds left an engine is not asked any more.
-_LEAST_LEFT = 0.03
-_SHORTEST_TIMER = 0.001
-#: Fields left out of a request's line where they have this value: whoever keeps
-#: logs keeps some hundred kB of a process, and most requests are plain ones.
-_PLAIN_FIELDS = frozenset(
+#: With less time left, the request is sent to no further engine.
+_MIN_SECONDS_LEFT = 0.03
+_MIN_TIMER_SECONDS = 0.001
+#: Log fields omitted at these values, to keep most log lines short.
+_DEFAULT_FIELDS = frozenset(
     (('sends', 1), ('runs', 0), ('reason', '-'), ('team', ''))
 )
 
-#: The outcome of a request that has surely not run.
+#: Outcome of a request that no engine has run.
 REFUSED = 'refused'
 
-#: What came of an attempt; nothing where another may be made.
-_Verdict = str | None
+#: Outcome of the request, or ``None`` to try the next engine.
+_Outcome = str | None
 
 
 class OnlinePath:
-    """Serve the requests of clients on plain and streaming routes."""
+    """Serve client requests on plain and streaming routes."""
 
     def __init__(
         self,
@@ -64,14 +63,14 @@
         log: Log,
         metrics: Metrics,
         fairness: Fairness,
-        room: WaitingRoom,
+        queue: WaitingRoom,
     ) -> None:
         self._fleet = fleet
         self._attempts = Attempts(dialect, fleet, log, metrics)
         self._log = log
         self._metrics = metrics
         self._admission = AdmissionControl(
-            fleet.configuration, metrics, fairness, room
+            fleet.configuration, metrics, fairness, queue
         )
 
     def serve(
@@ -82,37 +81,37 @@
         route: Route,
         team: Team | None,
     ) -> str:
-        """Serve one request, write one line on how it ended, and tell it."""
-        patience = route.timeout
+        """Serve one request, log it, and return its outcome."""
+        timeout = route.timeout
         if facts.patience is not None:
-            patience = min(patience, facts.patience)
+            timeout = min(timeout, facts.patience)
         exchange = Exchange(
             request,
             responder,
             facts,
             route,
-            request.received + patience,
+            request.received + timeout,
             team.name if team else TeamName(''),
             last_event=facts.resume_after,
         )
         outcome = 'client_gone'
         try:
-            outcome = self._serve_in_time(exchange)
+            outcome = self._serve_until_deadline(exchange)
         except ClientGoneError:
-            # Nobody is left to tell; the line says so.
+            # There is no client to answer.
             outcome = 'client_gone'
         except ServerEndsError:
-            # The server answers in our place; the line says why.
+            # The server answers the client.
             outcome = 'process_ends'
             raise
         finally:
-            self._conclude(exchange, outcome)
+            self._record_outcome(exchange, outcome)
         return outcome
 
-    def _serve_in_time(self, exchange: Exchange) -> str:
-        left = max(exchange.left, _SHORTEST_TIMER)
+    def _serve_until_deadline(self, exchange: Exchange) -> str:
+        seconds_left = max(exchange.seconds_left, _MIN_TIMER_SECONDS)
         try:
-            with gevent.Timeout(left, DeadlineError):
+            with gevent.Timeout(seconds_left, DeadlineError):
                 return self._serve(exchange)
         except DeadlineError:
             return self._time_out(exchange)
@@ -124,68 +123,70 @@
             if isinstance(chosen, str):
                 return chosen
             exchange.tried.add(chosen.name)
-            verdict = self._attempt(exchange, chosen)
-            if verdict:
-                return verdict
+            outcome = self._attempt(exchange, chosen)
+            if outcome:
+                return outcome
 
     def _choose(
         self, exchange: Exchange, service: ServiceName
     ) -> EngineView | str:
-        """Choose an engine to ask, or end the request and give its outcome."""
-        placed = self._fleet.balancer.choose(
+        """Choose an engine, or end the request and return its outcome."""
+        placement = self._fleet.balancer.choose(
             service, exchange.tried, once=not exchange.can_be_retried
         )
-        if placed is None or exchange.left < _LEAST_LEFT:
-            return self._give_up(exchange, 'no engine left to ask')
-        left = self._quarantine_left(exchange)
-        if left:
-            return self._quarantine(exchange, left)
-        released = exchange.released
-        refusal = self._admission.admit(exchange, service, placed.wait)
+        if placement is None or exchange.seconds_left < _MIN_SECONDS_LEFT:
+            return self._give_up(exchange, 'no engine or no time left')
+        seconds_left = self._quarantine_left(exchange)
+        if seconds_left:
+            return self._refuse_quarantined(exchange, seconds_left)
+        dequeued = exchange.dequeued
+        refusal = self._admission.admit(exchange, service, placement.wait)
         if refusal:
             self._fleet.refusals.refused(service)
             return self._refuse(exchange, refusal.reason, refusal.retry_after)
-        if exchange.released != released:
-            # Loads have changed since it began to wait.
+        if exchange.dequeued != dequeued:
+            # Loads have changed while it was queued.
             return self._choose(exchange, service)
-        return placed.view
+        return placement.view
 
     def _quarantine_left(self, exchange: Exchange) -> float:
         return self._fleet.suspects.quarantine_left(
             lambda: exchange.digest, REQUEST_SECONDS
         )
 
-    def _quarantine(self, exchange: Exchange, left: float) -> str:
-        """Keep a request from engines under which others have ended.
+    def _refuse_quarantined(
+        self, exchange: Exchange, seconds_left: float
+    ) -> str:
+        """Refuse a request that engines have crashed on.
 
-        Each of them cuts off or delays what some eight others have running.
+        Each crash cuts off the other requests that the engine is running.
         """
         self._metrics.quarantined += 1
         exchange.quarantined = True
-        reason = 'quarantined: engines ended under it'
+        reason = 'quarantined: engines crashed while running it'
         if exchange.runs:
             return self._give_up(exchange, reason)
-        return self._refuse(exchange, reason, left)
+        return self._refuse(exchange, reason, seconds_left)
 
-    def _attempt(self, exchange: Exchange, view: EngineView) -> _Verdict:
-        ran = True
+    def _attempt(self, exchange: Exchange, view: EngineView) -> _Outcome:
+        took_slot = True
         try:
             self._attempts.make(exchange, view)
         except NotRunError as refused:
-            # It took no place, so none came free.
-            ran = False
-            exchange.asked = False
+            # It took no slot, so none was freed.
+            took_slot = False
+            exchange.in_flight = False
             unreachable = isinstance(refused, UnreachableError)
-            if self._too_late_to_offer(exchange, unreachable):
+            if self._should_refuse_now(exchange, unreachable):
                 return self._give_up(exchange, str(refused))
             exchange.failure = str(refused)
             return None
         except UnknownOutcomeError as unknown:
             return self._count_run(exchange, unknown, self._give_up)
         except BrokenStreamError as broken:
-            return self._count_run(exchange, broken, self._break_off)
+            return self._count_run(exchange, broken, self._abort)
         finally:
-            if ran:
+            if took_slot:
                 self._admission.finished(view.engine.service)
         return 'answered'
 
@@ -193,44 +194,46 @@
         self,
         exchange: Exchange,
         error: Exception,
-        otherwise: Callable[[Exchange, str], str],
-    ) -> _Verdict:
+        finish: Callable[[Exchange, str], str],
+    ) -> _Outcome:
         exchange.runs += 1
         exchange.failure = str(error)
         if exchange.may_run_again:
             self._fleet.suspects.await_news(exchange.digest)
             return None
-        return otherwise(exchange, exchange.failure)
+        return finish(exchange, exchange.failure)
 
-    def _too_late_to_offer(self, exchange: Exchange, unreachable: bool) -> bool:
+    def _should_refuse_now(self, exchange: Exchange, unreachable: bool) -> bool:
         if exchange.runs or exchange.responder.started:
             return False
         return retry.too_late_to_offer(
-            exchange.waited - exchange.held, exchange.route.target, unreachable
+            exchange.elapsed - exchange.queued_seconds,
+            exchange.route.target,
+            unreachable,
         )
 
     def _give_up(self, exchange: Exchange, reason: str) -> str:
         exchange.failure = f'{reason} ({exchange.failure})'
         if exchange.responder.started:
-            return self._break_off(exchange, exchange.failure)
+            return self._abort(exchange, exchange.failure)
         if exchange.runs:
-            # An engine may have run it, so nothing is promised.
+            # An engine may have run it, so it must not be reported as not run.
             exchange.answer(HTTPStatus.BAD_GATEWAY)
             return 'unknown'
-        if exchange.left < _LEAST_LEFT:
+        if exchange.seconds_left < _MIN_SECONDS_LEFT:
             return self._time_out(exchange)
         return self._refuse(exchange, exchange.failure, retry.RETRY_AFTER)
 
     def _refuse(
         self, exchange: Exchange, reason: str, retry_after: float
     ) -> str:
-        """Promise that the request has not run; tell when to come back."""
+        """Answer that the request has not run, with a retry time (s)."""
         exchange.failure = reason
         headers = [('Retry-After', f'{retry_after:.3f}')]
         exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE, headers)
         return REFUSED
 
-    def _break_off(self, exchange: Exchange, reason: str) -> str:
+    def _abort(self, exchange: Exchange, reason: str) -> str:
         exchange.failure = reason
         exchange.responder.abort()
         return 'broken_off'
@@ -240,23 +243,29 @@
             exchange.responder.abort()
             return 'timed_out_midway'
         if not exchange.may_have_run:
-            return self._refuse(exchange, 'no time left', retry.RETRY_AFTER)
+            return self._refuse(
+                exchange, 'deadline passed before any run', retry.RETRY_AFTER
+            )
         exchange.responder.close_after()
         exchange.answer(HTTPStatus.GATEWAY_TIMEOUT)
         return 'timed_out'
 
-    def _conclude(self, exchange: Exchange, outcome: str) -> None:
-        first = 0.0
+    def _record_outcome(self, exchange: Exchange, outcome: str) -> None:
+        first_seconds = 0.0
         if exchange.first_event:
-            first = exchange.first_event - exchange.request.received
-            self._metrics.first_event.observe(first)
+            first_seconds = exchange.first_event - exchange.request.received
+            self._metrics.first_event.observe(first_seconds)
         self._metrics.requests[outcome] += 1
-        self._metrics.whole_answer.observe(exchange.waited)
-        self._log.event('request', **_told(exchange, outcome, first))
+        self._metrics.whole_answer.observe(exchange.elapsed)
+        self._log.event(
+            'request', **_log_fields(exchange, outcome, first_seconds)
+        )
 
 
-def _told(exchange: Exchange, outcome: str, first: float) -> dict[str, object]:
-    """Make the fields of a request's line."""
+def _log_fields(
+    exchange: Exchange, outcome: str, first_seconds: float
+) -> dict[str, object]:
+    """Return the fields of the log line of a request."""
     fields: dict[str, object] = {
         'request': exchange.facts.request,
         'route': exchange.route.name,
@@ -268,21 +277,21 @@
         'batch_seen': exchange.choice.batch,
         'sends': exchange.sends,
         'runs': exchange.runs,
-        'first_ms': round(first * 1000, 1),
-        'total_ms': round(exchange.waited * 1000, 1),
+        'first_ms': round(first_seconds * 1000, 1),
+        'total_ms': round(exchange.elapsed * 1000, 1),
         'reason': exchange.failure,
     }
-    if exchange.held:
-        fields['held_ms'] = round(exchange.held * 1000, 1)
+    if exchange.queued_seconds:
+        fields['held_ms'] = round(exchange.queued_seconds * 1000, 1)
     if outcome == REFUSED and exchange.turn.had:
-        # Requests of its team, and its share, both over the last second.
+        # Recent requests of its team, and its share of them.
         fields['had'] = round(exchange.turn.had, 2)
         fields['share'] = round(exchange.turn.share, 2)
     if exchange.runs or exchange.quarantined:
-        # The same where its caller sends it again, unlike its id.
+        # Unlike the id, the digest is the same when the client retries.
         fields['digest'] = exchange.digest
     return {
-        name: found
-        for name, found in fields.items()
-        if (name, found) not in _PLAIN_FIELDS
+        name: logged
+        for name, logged in fields.items()
+        if (name, logged) not in _DEFAULT_FIELDS
     }
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -1,4 +1,4 @@
-"""Pass an engine's answer on to the client."""
+"""Relay the response of an engine to the client."""
 
 from collections.abc import Iterator
 from http import HTTPStatus
@@ -19,8 +19,7 @@
 )
 from bendlead_gateway.types import Engine, Headers, RouteKind
 
-#: Headers that concern one connection only and are not passed on.
-_OWN_CONNECTION = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         'connection',
         'keep-alive',
@@ -32,23 +31,27 @@
         'content-length',
     ),
 )
-#: A resumable stream whose engine is silent for this many times its gap
-#: target is continued elsewhere, and no sooner than the least (s).
-_SILENT_GAPS = 3.0
-_LEAST_SILENCE = 0.5
+#: A resumable stream is resumed on another engine after a silence of this many
+#: gap targets, and at least of the minimum.
+_SILENCE_GAP_TARGETS = 3.0
+_MIN_SILENCE_SECONDS = 0.5
 
 
 def passed_on(headers: Headers) -> list[tuple[str, str]]:
-    """Leave out the headers that concern one connection only."""
+    """Return the headers without those that apply to one connection."""
     return [
         (name, text)
         for name, text in headers
-        if name.lower() not in _OWN_CONNECTION
+        if name.lower() not in _HOP_BY_HOP_HEADERS
     ]
 
 
 class AnswerRelay:
-    """Relay one answer from one engine; raise where it breaks off."""
+    """Relay one response from one engine.
+
+    Raises ``BrokenStreamError`` where the response breaks off after a part of
+    it went to the client, else ``UnknownOutcomeError``.
+    """
 
     def __init__(
         self,
@@ -63,80 +66,88 @@
         self._health = fleet.health
         self._pace = fleet.pace
         self._stream = fleet.follow(engine)
-        self._first_part = 0.0
-        self._last_part = 0.0
+        self._first_part_at = 0.0
+        self._last_part_at = 0.0
 
     def relay(self, head: ResponseHead) -> None:
-        """Pass the answer on in the way its route allows."""
+        """Relay the body by events, by chunks or buffered, as the route is."""
         exchange = self._exchange
         stream = exchange.route.kind is RouteKind.STREAM
         if stream and exchange.route.resumable and head.status == HTTPStatus.OK:
             self._relay_events(head)
         elif exchange.responder.started:
-            raise BrokenStreamError(f'resumed at {head.status}')
+            raise BrokenStreamError(
+                f'resume failed: engine answered {head.status}'
+            )
         elif stream:
             self._relay_bytes(head)
         else:
-            self._relay_whole(head)
+            self._relay_buffered(head)
         if head.status < HTTPStatus.INTERNAL_SERVER_ERROR:
             self._health.succeeded(self._engine.engine)
-            if self._first_part:
-                held = clock.uptime() - self._first_part
-                self._pace.observe_run(held)
+            if self._first_part_at:
+                run_seconds = clock.uptime() - self._first_part_at
+                self._pace.observe_run(run_seconds)
                 self._stream.end()
 
     def _relay_bytes(self, head: ResponseHead) -> None:
-        """Pass a stream on as it comes; it can't be taken up elsewhere."""
+        """Relay a stream that no other engine can resume."""
         exchange = self._exchange
-        self._start(head)
+        self._start_response(head)
         try:
-            for part in self._parts(head, exchange.read_patience):
+            for part in self._parts(head, exchange.read_timeout):
                 exchange.responder.write(part)
         except BrokenAnswerError as error:
             raise BrokenStreamError(str(error)) from error
         exchange.responder.finish()
 
-    def _relay_whole(self, head: ResponseHead) -> None:
-        """Read a plain answer whole, so that a broken one can be retried."""
+    def _relay_buffered(self, head: ResponseHead) -> None:
+        """Buffer a plain response, so that a broken one can be retried."""
         exchange = self._exchange
         try:
-            whole = b''.join(self._parts(head, exchange.read_patience))
+            body = b''.join(self._parts(head, exchange.read_timeout))
         except BrokenAnswerError as error:
-            raise UnknownOutcomeError(f'answer broke off: {error}') from error
-        self._start(head)
-        exchange.responder.write(whole)
+            raise UnknownOutcomeError(
+                f'incomplete response: {error}'
+            ) from error
+        self._start_response(head)
+        exchange.responder.write(body)
         exchange.responder.finish()
 
     def _relay_events(self, head: ResponseHead) -> None:
-        """Pass whole events on, so that another engine can go on behind."""
+        """Relay complete events, so that another engine can resume."""
         exchange = self._exchange
         splitter = EventSplitter()
-        gap = exchange.route.gap_target * _SILENT_GAPS
-        self._start(head)
+        silence_seconds = exchange.route.gap_target * _SILENCE_GAP_TARGETS
+        self._start_response(head)
         try:
-            for part in self._parts(head, max(_LEAST_SILENCE, gap)):
-                self._pass_events(list(splitter.feed(part)))
+            for part in self._parts(
+                head, max(_MIN_SILENCE_SECONDS, silence_seconds)
+            ):
+                self._write_events(list(splitter.feed(part)))
         except BrokenAnswerError as error:
             raise BrokenStreamError(str(error)) from error
         if splitter.rest:
-            raise BrokenStreamError('ended within an event')
+            raise BrokenStreamError('stream ended within an event')
         exchange.responder.finish()
 
-    def _pass_events(self, events: list[StreamEvent]) -> None:
+    def _write_events(self, events: list[StreamEvent]) -> None:
         for event in events:
             self._check_order(event.number)
-        self._exchange.responder.write(b''.join(one.raw for one in events))
+        self._exchange.responder.write(
+            b''.join(checked.raw for checked in events)
+        )
 
     def _check_order(self, number: int | None) -> None:
-        before = self._exchange.last_event
+        previous = self._exchange.last_event
         if number is None:
-            raise BrokenAnswerError('an event without a number')
-        if before is not None and number != before + 1:
-            raise BrokenAnswerError(f'event {number} after {before}')
+            raise BrokenAnswerError('stream event without a numeric id')
+        if previous is not None and number != previous + 1:
+            raise BrokenAnswerError(f'stream event {number} after {previous}')
         self._exchange.last_event = number
 
-    def _parts(self, head: ResponseHead, silence: float) -> Iterator[bytes]:
-        for part in self._connection.read_parts(head, silence):
+    def _parts(self, head: ResponseHead, timeout: float) -> Iterator[bytes]:
+        for part in self._connection.read_parts(head, timeout):
             self._observe(part)
             yield part
 
@@ -148,20 +159,20 @@
         self._health.heard(name)
         if not self._exchange.first_event:
             self._exchange.first_event = now
-        if not self._first_part:
-            self._first_part = now
-        if self._last_part:
-            self._pace.observe_gap(name, now - self._last_part)
-        self._last_part = now
+        if not self._first_part_at:
+            self._first_part_at = now
+        if self._last_part_at:
+            self._pace.observe_gap(name, now - self._last_part_at)
+        self._last_part_at = now
 
-    def _start(self, head: ResponseHead) -> None:
+    def _start_response(self, head: ResponseHead) -> None:
         exchange = self._exchange
         if exchange.responder.started:
             return
         exchange.status = head.status
         length = head.find('content-length')
         stream = exchange.route.kind is RouteKind.STREAM
-        known = int(length) if length and not stream else None
+        body_bytes = int(length) if length and not stream else None
         exchange.responder.start(
-            head.status, head.reason, passed_on(head.headers), known
+            head.status, head.reason, passed_on(head.headers), body_bytes
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/waiting_room.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/waiting_room.py
@@ -1,4 +1,4 @@
-"""Hold requests until a place comes free, each in a task of its own."""
+"""Queue of requests that wait for a free slot of an engine."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -20,23 +20,22 @@
 )
 from bendlead_gateway.types import RouteKind, ServiceName, Team, TeamName
 
-#: Places are looked for this often (s) while somebody is held; one comes free
-#: every few ms.
-_LOOK_SECONDS = 0.02
+#: Interval of the checks for free slots while requests are queued.
+_POLL_SECONDS = 0.02
 
 
 class Fairness(Protocol):
-    """Tell whose turn it is."""
+    """Source of the use that teams make of their shares."""
 
     def turn(self, team: Team | None) -> Turn:
-        """Tell how a team stands to its share now."""
+        """Return the team's recent requests and its share."""
 
 
 class WaitingRoom:
-    """Hold requests of each service, and let them go on one by one.
+    """Queue requests by service and release them as slots come free.
 
-    Whoever leaves in between, its caller or its deadline, ends its task, which
-    gives its room back.
+    Each request waits in the greenlet that serves it. Where its client leaves
+    or its deadline passes, that greenlet ends and the request leaves the queue.
     """
 
     def __init__(
@@ -47,13 +46,13 @@
         metrics: Metrics,
         now: Callable[[], float] = clock.uptime,
     ) -> None:
-        """Hold requests; ``wait_of`` tells the wait (s) for a place."""
+        """Make a queue; ``wait_of`` returns the wait (s) of a service."""
         self._wait_of = wait_of
         self._fairness = fairness
         self._team_named = team_named
         self._metrics = metrics
         self._now = now
-        #: By route.
+        #: By name of the route.
         self._patience: dict[str, Patience] = {}
         self._rules: dict[ServiceName, WaitingRules] = {}
         self._results: dict[QueuedRequest, AsyncResult] = {}
@@ -61,77 +60,77 @@
 
     @property
     def waiting(self) -> dict[TeamName, int]:
-        """Count those that are held, by team."""
+        """Count the queued requests by team."""
         counts: dict[TeamName, int] = {}
-        for held in self._results:
-            counts[held.team] = counts.get(held.team, 0) + 1
+        for queued in self._results:
+            counts[queued.team] = counts.get(queued.team, 0) + 1
         return counts
 
     def first_before(self, service: ServiceName, turn: Turn) -> bool:
-        """Tell whether somebody held goes before a new request."""
+        """Return whether a queued request goes before a new one."""
         return self._rules_of(service).first_before(turn)
 
     def finished(self, service: ServiceName) -> None:
-        """Learn that a request of this process has ended."""
+        """Record that a request of this process has freed its slot."""
         self._rules_of(service).finished()
 
     def hold(self, exchange: Exchange, service: ServiceName) -> str | None:
-        """Wait for a place; say why not where there is none to be had."""
-        held = self._ask(exchange)
-        if held is None:
-            return 'may come back'
+        """Wait for a slot; return why none was available, else ``None``."""
+        queued = self._make_queued(exchange)
+        if queued is None:
+            return 'first attempt or deadline too near'
         rules = self._rules_of(service)
-        reason = rules.reason_against(held)
+        reason = rules.reason_against(queued)
         if reason is not None:
             self._metrics.load.held['not_held'] += 1
             return reason
-        return self._wait(exchange, held, service)
+        return self._wait_for_slot(exchange, queued, service)
 
-    def _ask(self, exchange: Exchange) -> QueuedRequest | None:
-        """Make what is to be held, if the request may be."""
+    def _make_queued(self, exchange: Exchange) -> QueuedRequest | None:
+        """Return the queue entry, or ``None`` if it must not be queued."""
         route = exchange.route
         stream = route.kind is RouteKind.STREAM
-        until = last_moment(
+        last_send = last_moment(
             exchange.request.received, exchange.deadline, route.target, stream
         )
         patience = self._patience.setdefault(route.name, Patience())
         if not patience.came_back(exchange.facts.patience, route.timeout):
             return None
         now = self._now()
-        if not should_queue(until - now, route.target):
+        if not should_queue(last_send - now, route.target):
             return None
         team = self._team_named(exchange.team)
         return QueuedRequest(
             exchange.team,
             now,
-            until,
+            last_send,
             route.target,
             (team.priority if team else 0, route.priority),
             exchange.turn,
             len(exchange.request.body),
         )
 
-    def _wait(
-        self, exchange: Exchange, held: QueuedRequest, service: ServiceName
+    def _wait_for_slot(
+        self, exchange: Exchange, queued: QueuedRequest, service: ServiceName
     ) -> str | None:
-        self._rules_of(service).enter(held)
-        self._results[held] = AsyncResult()
-        self._look_for_places(service)
+        self._rules_of(service).enter(queued)
+        self._results[queued] = AsyncResult()
+        self._start_releasing(service)
         try:
-            reason = self._results[held].get()
+            reason = self._results[queued].get()
         except ServerEndsError:
-            # No engine has it, so its caller may be told so.
-            reason = 'the process ends'
+            # No engine has run it, so it can be refused.
+            reason = 'process is stopping'
         finally:
-            exchange.held += self._now() - held.came
-            self._forget(held, service)
+            exchange.queued_seconds += self._now() - queued.came
+            self._remove(queued, service)
         self._metrics.load.held['given_up' if reason else 'released'] += 1
         return reason
 
-    def _forget(self, held: QueuedRequest, service: ServiceName) -> None:
-        """Give its room back, whatever became of it."""
-        self._rules_of(service).leave(held)
-        self._results.pop(held)
+    def _remove(self, queued: QueuedRequest, service: ServiceName) -> None:
+        """Remove a request that was released, refused or abandoned."""
+        self._rules_of(service).leave(queued)
+        self._results.pop(queued)
 
     def _rules_of(self, service: ServiceName) -> WaitingRules:
         rules = self._rules.get(service)
@@ -140,31 +139,31 @@
             self._rules[service] = rules
         return rules
 
-    def _look_for_places(self, service: ServiceName) -> None:
+    def _start_releasing(self, service: ServiceName) -> None:
         task = self._tasks.get(service)
         if task is None or task.dead:
-            self._tasks[service] = gevent.spawn(self._serve, service)
+            self._tasks[service] = gevent.spawn(self._release_all, service)
 
-    def _serve(self, service: ServiceName) -> None:
-        """Let those who are held go on, until nobody is."""
+    def _release_all(self, service: ServiceName) -> None:
+        """Release requests until the queue of the service is empty."""
         rules = self._rules_of(service)
         while rules.held:
-            self._look(service, rules)
-            gevent.sleep(_LOOK_SECONDS)
-
-    def _look(self, service: ServiceName, rules: WaitingRules) -> None:
-        for held in rules.held:
-            held.turn = self._fairness.turn(self._team_named(held.team))
-        for hopeless in rules.hopeless():
-            self._tell(rules, hopeless, 'no place to be expected in time')
+            self._release_next(service, rules)
+            gevent.sleep(_POLL_SECONDS)
+
+    def _release_next(self, service: ServiceName, rules: WaitingRules) -> None:
+        for queued in rules.held:
+            queued.turn = self._fairness.turn(self._team_named(queued.team))
+        for unlikely in rules.hopeless():
+            self._wake(rules, unlikely, 'no slot expected before its deadline')
         wait = self._wait_of(service)
-        first = None if wait is None else rules.release(wait)
-        if first is not None:
-            self._tell(rules, first, None)
+        released = None if wait is None else rules.release(wait)
+        if released is not None:
+            self._wake(rules, released, None)
 
-    def _tell(
-        self, rules: WaitingRules, held: QueuedRequest, reason: str | None
+    def _wake(
+        self, rules: WaitingRules, queued: QueuedRequest, reason: str | None
     ) -> None:
-        """Wake the task of a request that goes on, or why it does not."""
-        rules.leave(held)
-        self._results[held].set(reason)
+        """Wake the greenlet of a request; ``reason`` is that of a refusal."""
+        rules.leave(queued)
+        self._results[queued].set(reason)
