--- a/tests/test_gateway_bad_input.py
+++ b/tests/test_gateway_bad_input.py
@@ -1,4 +1,4 @@
-"""What an entry does with numbers that make no sense."""
+"""Invalid numbers in engine entries, requests and reports."""
 
 from bendlead_gateway.types import EngineId, NodeName
 from parameterized import parameterized
@@ -10,20 +10,20 @@
 
 
 class BadInputTest(EntryCase):
-    """Each request is answered, and refusals say when to come back."""
+    """Each request is answered, and refusals have a retry time."""
 
     @parameterized.expand(
         [
             ('beside_another', [PLAIN, PLAIN], 0, 200),
             ('alone', [], 0, 503),
-            ('fewer_than_none', [], -1, 503),
+            ('negative', [], -1, 503),
         ]
     )
-    def test_engine_without_places(self, _name, answers, slots, status):
-        """What an engine says of itself may be wrong; requests are answered."""
+    def test_engine_without_slots(self, _name, answers, slots, status):
+        """An engine that registers no slots does not stop requests."""
         self.start(route('safe'), answers=answers)
-        told = engine('127.0.0.1:1', slots=slots)
-        self.store.set('servers', 'i-9', told)
+        entry = engine('127.0.0.1:1', slots=slots)
+        self.store.set('servers', 'i-9', entry)
         listed = len(answers) + 1
         eventually(lambda: len(self.entry.fleet.engines.all()) == listed)
         for _request in range(2):
@@ -36,14 +36,14 @@
         [
             ('negative', '-5', 503),
             ('none_left', '0', 503),
-            ('no_number', 'nan', 200),
-            ('endless', 'inf', 200),
+            ('not_a_number', 'nan', 200),
+            ('infinite', 'inf', 200),
             ('text', 'soon', 200),
             ('huge', '9' * 40, 200),
         ]
     )
-    def test_patience(self, _name, patience, status):
-        """A patience that is no time is that of the route."""
+    def test_client_timeout(self, _name, patience, status):
+        """An invalid timeout is replaced by that of the route."""
         self.start(route('safe'), answers=[PLAIN, PLAIN])
         head, _body = self.read(self.ask(patience=patience))
         self.assertEqual(status, head.status)
@@ -51,8 +51,8 @@
             self.assertTrue(head.find('retry-after'))
             self.assertEqual(0, self.sent())
 
-    def test_counts_of_an_unknown_engine(self):
-        """They change nothing for the engines that are known."""
+    def test_reported_load_of_an_unknown_engine(self):
+        """Loads that a peer reports for it leave other engines unchanged."""
         self.start(route('safe'), answers=[PLAIN, PLAIN])
         loads = self.entry.fleet.loads
         counts = {EngineId('i-gone'): 500}
@@ -60,5 +60,5 @@
         head, _body = self.read(self.ask())
         self.assertEqual(200, head.status)
         views = self.entry.fleet.balancer.views('s1')
-        self.assertEqual({'i-0', 'i-1'}, {one.name for one in views})
-        self.assertEqual([0, 0], [one.batch for one in views])
+        self.assertEqual({'i-0', 'i-1'}, {view.name for view in views})
+        self.assertEqual([0, 0], [view.batch for view in views])
--- a/tests/test_gateway_entry.py
+++ b/tests/test_gateway_entry.py
@@ -1,4 +1,4 @@
-"""What clients of an entry get, whatever engines do."""
+"""Responses of an entry to clients while engines fail or are full."""
 
 import random
 import time
@@ -20,9 +20,11 @@
 )
 
 _SEAL = 'X-Response-Seal: s1\r\n'
-_SHED = b'HTTP/1.1 503 x\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n'
-_MOVED = b'HTTP/1.1 421 x\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n'
-_WHOLE = chunked(event(1, 'a'), event(2, 'b'), headers=_SEAL)
+_REFUSED = b'HTTP/1.1 503 x\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n'
+_MISDIRECTED = (
+    b'HTTP/1.1 421 x\r\nX-Instance-Id: i-9\r\nContent-Length: 0\r\n\r\n'
+)
+_COMPLETE = chunked(event(1, 'a'), event(2, 'b'), headers=_SEAL)
 _TAIL = chunked(event(2, 'b'), headers='X-Response-Seal: s2\r\n')
 _CUT = chunked(event(1, 'a'), headers=_SEAL, last=False)
 _MID_EVENT = chunked(event(1, 'a') + b'id: 2\nda', headers=_SEAL, last=False)
@@ -34,31 +36,31 @@
 
 
 class OutcomeTest(EntryCase):
-    """What clients get for what engines do."""
+    """Response to the client for each behaviour of the engines."""
 
     @parameterized.expand(
         [
-            ('stream', 'streaming', {}, [_WHOLE], 200, _STREAM, 1),
+            ('stream', 'streaming', {}, [_COMPLETE], 200, _STREAM, 1),
             ('plain', 'safe', {}, [_PLAIN], 200, b'ok', 1),
             (
-                'shed_goes_elsewhere',
+                'refused_is_retried',
                 'unsafe',
                 {'max_attempts': 1},
-                [_SHED, _PLAIN],
+                [_REFUSED, _PLAIN],
                 200,
                 b'ok',
                 None,
             ),
             (
-                'moved_goes_elsewhere',
+                'misdirected_is_retried',
                 'unsafe',
                 {'max_attempts': 1},
-                [_MOVED, _PLAIN],
+                [_MISDIRECTED, _PLAIN],
                 200,
                 b'ok',
                 None,
             ),
-            ('all_shed', 'unsafe', {}, [_SHED, _SHED], 503, b'', 2),
+            ('all_refuse', 'unsafe', {}, [_REFUSED, _REFUSED], 503, b'', 2),
             (
                 'unsafe_lost',
                 'unsafe',
@@ -112,7 +114,7 @@
     def test_outcome(self, name, kind, changed, answers, status, body, sends):
         self.start(route(kind, **changed), answers=answers)
         if name.startswith('resumed'):
-            # The engine that breaks off has to be the first one asked.
+            # The engine that breaks off must be asked first.
             self.entry.fleet.loads.own.online['i-1'] += 3
         head, got = self.read(self.ask())
         self.assertEqual((status, body), (head.status, got))
@@ -124,7 +126,7 @@
             self.assertEqual('s1', head.find('x-response-seal'))
 
     def test_few_descriptors(self):
-        """Fewer than are kept for engines and the store leave some."""
+        """Requests are served with fewer descriptors than the usual reserve."""
         self.start(route('safe'), answers=[_PLAIN], descriptors=400)
         head, _body = self.read(self.ask())
         self.assertEqual(200, head.status)
@@ -143,14 +145,14 @@
             self.read(self.ask())
 
     @parameterized.expand([('route', 300, 5000), ('client', 5000, 300)])
-    def test_time_is_up(self, _name, timeout, patience):
+    def test_deadline_passes_at_the_engine(self, _name, timeout, patience):
         self.start(route('unsafe', timeout_ms=timeout), answers=[None])
         head, _body = self.read(self.ask(patience=patience))
         self.assertEqual(504, head.status)
         left = self.engines[0].requests[0].split(b'X-Deadline-Ms: ')[1]
         self.assertLessEqual(int(left.split(b'\r\n')[0]), 300)
 
-    def test_client_that_left_stops_the_engine(self):
+    def test_closed_client_connection_closes_the_engine_connection(self):
         gone = []
 
         def script(sock):
@@ -170,10 +172,10 @@
 
 
 class UnreachableTest(EntryCase):
-    """Connections to an engine that don't come up."""
+    """Requests while connecting to an engine hangs."""
 
     def begin(self, answers, **changed):
-        """List an engine that takes no connection, the first one asked."""
+        """Start with a first engine that accepts no connection."""
         listener = FullListener()
         self.addCleanup(listener.close)
         self.store.set('servers', 'i-9', engine(listener.address))
@@ -181,7 +183,7 @@
         for number in range(len(answers)):
             self.entry.fleet.loads.own.online[f'i-{number}'] += 3
 
-    def test_another_one_is_asked_in_time(self):
+    def test_another_engine_is_asked_in_time(self):
         self.begin([_PLAIN])
         began = time.monotonic()
         head, _body = self.read(self.ask())
@@ -191,29 +193,29 @@
     @parameterized.expand(
         [('while_connecting', 100, 503), ('too_short', 10, 503)]
     )
-    def test_time_is_up_before_any_offer(self, _name, patience, status):
-        """It surely has not run, and the answer says so."""
+    def test_deadline_passes_while_connecting(self, _name, patience, status):
+        """A request that no engine got is reported as not run."""
         self.begin([])
         head, _body = self.read(self.ask(patience=patience))
         self.assertEqual(status, head.status)
 
 
 class OverloadTest(EntryCase):
-    """A request that would be late is refused early and truly."""
+    """Admission by expected wait; refused requests reach no engine."""
 
     @parameterized.expand(
         [
-            ('free_place', 7, 2000, 200),
+            ('free_slot', 7, 2000, 200),
             ('short_wait', 9, 2000, 200),
             ('long_wait', 14, 2000, 503),
-            ('short_wait_and_it_came_back', 9, 1500, 200),
-            ('long_wait_but_it_came_back', 14, 1500, 503),
+            ('short_wait_of_a_retry', 9, 1500, 200),
+            ('long_wait_of_a_retry', 14, 1500, 503),
         ],
     )
     def test_admission(self, _name, online, patience, status):
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
         self.entry.fleet.pace.run_seconds = 0.5
-        # A first request shows how long a fresh client waits.
+        # The first request sets the timeout that the entry expects.
         self.read(self.ask(patience=2000))
         before = self.sent()
         self.entry.fleet.pace.run_seconds = 0.5
@@ -230,20 +232,20 @@
             ('at_the_earliest', 6000, 0.0, 0.44),
             ('in_the_middle', 6000, 0.5, 1.22),
             ('at_the_latest', 6000, 1.0, 2.0),
-            ('it_has_hardly_time', 700, 1.0, 0.44),
+            ('short_timeout', 700, 1.0, 0.44),
         ],
     )
-    def test_return_time(self, _name, patience, drawn, expected):
-        """Clients return apart, within the time that they heed."""
+    def test_return_time(self, _name, patience, random_value, expected):
+        """Retry times are spread within the timeout of the client."""
         self.start(route('safe'), answers=[_PLAIN])
         self.entry.fleet.pace.run_seconds = 0.5
         self.entry.fleet.loads.own.online['i-0'] = 14
-        with mock.patch.object(random, 'random') as chance:
-            chance.return_value = drawn
+        with mock.patch.object(random, 'random') as draw:
+            draw.return_value = random_value
             head, _body = self.read(self.ask(patience=patience))
         self.assertEqual(503, head.status)
-        told = float(head.find('retry-after'))
-        self.assertAlmostEqual(expected, told, delta=0.1)
+        retry_after = float(head.find('retry-after'))
+        self.assertAlmostEqual(expected, retry_after, delta=0.1)
 
 
 if __name__ == '__main__':
--- a/tests/test_gateway_gone.py
+++ b/tests/test_gateway_gone.py
@@ -1,4 +1,4 @@
-"""A client that has closed: nothing of its request goes on."""
+"""Requests are cancelled when their client closes the connection."""
 
 import unittest
 
@@ -16,12 +16,12 @@
     route,
 )
 
-#: The rule's bound on what still runs for a client that has closed (s).
-_GONE_SECONDS = 0.5
+#: Time allowed to stop all work for a closed client.
+_STOP_SECONDS = 0.5
 _SEAL = 'X-Response-Seal: s1\r\n'
 _BEGUN = chunked(event(1, 'a'), headers=_SEAL, last=False)
-_PART = event(2, 'b' * 4000)
-_CHUNK = b'%x\r\n%b\r\n' % (len(_PART), _PART)
+_EVENT = event(2, 'b' * 4000)
+_CHUNK = b'%x\r\n%b\r\n' % (len(_EVENT), _EVENT)
 _PLAIN = b'HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok'
 _REQUEST = (
     b'POST /x/1 HTTP/1.1\r\nHost: a.example\r\nX-Attempt-Id: %b\r\n'
@@ -40,21 +40,21 @@
 
 
 class ClientGoneTest(EntryCase):
-    """Close at some moment and look at what the engine sees then."""
+    """Close the client at some point and check what the engine receives."""
 
     def setUp(self):
         super().setUp()
         self.ended = []
 
     def begin(self, script, kind='streaming', count=4):
-        """Start an engine that follows a script until its caller is gone."""
+        """Start an engine that follows a script and waits for the close."""
 
-        def whole(sock):
+        def serve(sock):
             if peer.read_request(sock):
                 script(sock)
                 self.ended.append(sock.recv(1))
 
-        peer = ScriptedPeer([whole] * count)
+        peer = ScriptedPeer([serve] * count)
         self.addCleanup(peer.close)
         self.engines.append(peer)
         self.store.set('servers', 'i-0', engine(peer.address))
@@ -77,19 +77,19 @@
             ('plain_under_way', 'safe', _BEGUN, _close),
         ],
     )
-    def test_engine_is_stopped(self, _name, kind, sent, leave):
+    def test_engine_is_stopped(self, _name, kind, sent, close):
         self.begin(lambda sock: sock.sendall(sent), kind)
         client = self.connect()
         client.sendall(_FIRST + _SECOND)
         gevent.sleep(0.1)
-        leave(client)
-        gevent.sleep(_GONE_SECONDS)
+        close(client)
+        gevent.sleep(_STOP_SECONDS)
         self.assertEqual([b''], self.ended)
-        # What was pipelined behind it is not sent either.
+        # The request that was pipelined after it is not sent either.
         self.assertEqual(1, self.sent())
 
     def test_client_that_reads_nothing(self):
-        """Its answer fills all buffers, and then it closes."""
+        """The engine is stopped although the response fills all buffers."""
         written = []
 
         def flood(sock):
@@ -103,22 +103,22 @@
         client.sendall(_FIRST)
         gevent.sleep(0.3)
         client.close()
-        gevent.sleep(_GONE_SECONDS)
+        gevent.sleep(_STOP_SECONDS)
         before = len(written)
         gevent.sleep(0.2)
         self.assertEqual(before, len(written))
         self.assertFalse(self.entry._clients.busy)
 
-    def test_gave_up_before_it_was_read(self):
+    def test_closed_before_the_request_is_read(self):
         self.begin(lambda sock: sock.sendall(_PLAIN), 'safe')
         client = self.connect()
         client.sendall(_FIRST)
         client.close()
-        gevent.sleep(_GONE_SECONDS)
+        gevent.sleep(_STOP_SECONDS)
         self.assertEqual(0, self.sent())
 
     def test_closed_while_connecting(self):
-        """The engine's machine takes the connection only later."""
+        """No request is sent once the engine accepts the connection."""
         listener = FullListener()
         self.addCleanup(listener.close)
         self.store.set('servers', 'i-0', engine(listener.address))
@@ -128,17 +128,17 @@
         gevent.sleep(0.05)
         client.close()
         got = []
-        taking = gevent.spawn(self._take_all, listener.sock, got)
+        accepting = gevent.spawn(self._accept_all, listener.sock, got)
         gevent.sleep(1.5)
-        taking.kill()
+        accepting.kill()
         self.assertEqual(b'', b''.join(got))
 
-    def _take_all(self, listener, got):
+    def _accept_all(self, listener, got):
         while True:
             sock, _peer = listener.accept()
-            gevent.spawn(self._take, sock, got)
+            gevent.spawn(self._receive, sock, got)
 
-    def _take(self, sock, got):
+    def _receive(self, sock, got):
         got.append(sock.recv(100))
 
 
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -1,4 +1,4 @@
-"""An entry that was told to stop: what it still takes, and until when."""
+"""Graceful shutdown of an entry: requests that it still serves."""
 
 import gevent
 from bendlead_gateway.http import BrokenAnswerError, HttpConnection
@@ -16,7 +16,7 @@
 )
 _RUNS_SECONDS = 2.6
 _SPARE_SECONDS = 0.4
-#: After the entry's last moment for new work, while it still runs old.
+#: After the entry accepts no more requests, while earlier ones still run.
 _LATE_SECONDS = 2.2
 _HEADERS = [
     ('Host', 'a.example'),
@@ -43,7 +43,7 @@
 
 
 class LeavingEntryTest(EntryCase):
-    """The tests' entry takes new connections for two seconds of its four."""
+    """Shutdown with four seconds of grace, two of them for new connections."""
 
     @parameterized.expand(
         [
@@ -52,7 +52,7 @@
         ],
     )
     def test_new_connection(self, _name, waited, served):
-        """A request that could not end in time must not be taken."""
+        """A request that could not end within the grace time is refused."""
         self.start(route('streaming', timeout_ms=5000), answers=[_slow_first])
         running = self.ask(patience=5000)
         eventually(lambda: self.engines[0].requests)
@@ -67,7 +67,7 @@
         self.assertTrue(self.entry.done.is_set())
 
     def test_kept_connection(self):
-        """What follows on a busy connection could not end in time either."""
+        """A late request on a busy connection is refused as well."""
         self.start(route('streaming', timeout_ms=5000), answers=[_slow_first])
         running = self.ask(patience=5000)
         eventually(lambda: self.engines[0].requests)
@@ -81,11 +81,11 @@
         self.assertEqual(1, self.sent())
 
     def test_answer_that_begins_after_the_stop(self):
-        """A client must not keep a connection that is about to be closed."""
-        told = Event()
+        """The response tells the client that its connection is closed."""
+        stopping = Event()
 
         def answer(sock, _request):
-            told.wait(2)
+            stopping.wait(2)
             sock.sendall(_PLAIN)
             gevent.sleep(1)
 
@@ -94,13 +94,13 @@
         eventually(lambda: self.engines[0].requests)
         self._leave()
         gevent.sleep(0)
-        told.set()
+        stopping.set()
         head, body = self.read(running)
         self.assertEqual(b'ok', body)
         self.assertEqual('close', head.find('connection'))
 
     def test_request_that_arrives_slowly(self):
-        """A request counts from its last byte, wherever it began."""
+        """A request that is complete only after the last moment is refused."""
         self.start(route('safe', timeout_ms=5000), answers=[_PLAIN])
         host, port = self.entry.settings.clients_address.split(':')
         client = socket.create_connection((host, int(port)))
@@ -113,8 +113,8 @@
         self.assertIn(b' 503 ', client.recv(4096))
         self.assertEqual(0, self.sent())
 
-    def test_what_is_unanswered_at_the_end(self):
-        """A client gets an answer, if only one that promises nothing."""
+    def test_unanswered_request_at_the_end(self):
+        """A request that is still running at the end gets status 504."""
         self.start(route('safe', timeout_ms=8000), answers=[None])
         running = self.ask(patience=8000)
         eventually(lambda: self.engines[0].requests)
@@ -124,7 +124,7 @@
         self.assertTrue(self.entry.done.is_set())
 
     def test_short_grace(self):
-        """What still runs is given nearly all the time that there is."""
+        """A running request may use nearly all of the grace time."""
         self.start(route('streaming', timeout_ms=5000), answers=[_slow_first])
         grace = _RUNS_SECONDS + _SPARE_SECONDS
         self.entry.settings = replace(self.entry.settings, grace=grace)
@@ -142,7 +142,7 @@
 
     def _line(self, kind):
         lines = self.entry.log.recent
-        return next((one for one in lines if f'event={kind} ' in one), '')
+        return next((line for line in lines if f'event={kind} ' in line), '')
 
     def _served(self):
         try:
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -1,4 +1,4 @@
-"""What an entry knows of routes and engines, and for how long it trusts it."""
+"""Routes and engines in an entry while the store is slow, down or stale."""
 
 import unittest
 from unittest import mock
@@ -27,7 +27,7 @@
 
 
 class RoutingTest(EntryCase):
-    """Which configuration and which engines are in force."""
+    """Configuration and engines that an entry uses."""
 
     def test_unknown_route(self):
         self.start(route('safe'), answers=[_PLAIN])
@@ -41,7 +41,7 @@
         head, _body = self.read(self.ask('/other/1'))
         self.assertEqual(503, head.status)
 
-    def test_new_configuration_and_no_way_back(self):
+    def test_older_configuration_is_ignored(self):
         self.start(route('safe'), answers=[_PLAIN])
         self.store.set(
             'config', 'main', configuration(3, route('safe', path_prefix='/y/'))
@@ -59,7 +59,7 @@
         self.store.forget_history()
         eventually(lambda: self.entry.fleet.configuration.known.version == 3)
 
-    def test_draining_engine_gets_nothing(self):
+    def test_draining_engine_gets_no_requests(self):
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
         address = self.engines[0].address
         self.store.set('servers', 'i-0', engine(address, state='draining'))
@@ -90,15 +90,15 @@
 
     @parameterized.expand(
         [
-            ('one_leaves', 4, 1, 3),
-            ('one_of_two_leaves', 2, 1, 1),
-            ('half_of_them_vanish', 4, 2, 4),
-            ('all_vanish', 3, 3, 3),
-            ('the_only_one_vanishes', 1, 1, 1),
+            ('one_of_four_expires', 4, 1, 3),
+            ('one_of_two_expires', 2, 1, 1),
+            ('half_expire', 4, 2, 4),
+            ('all_expire', 3, 3, 3),
+            ('the_only_one_expires', 1, 1, 1),
         ],
     )
-    def test_engines_that_vanish(self, _name, listed, removed, kept):
-        """A held watch that outlives an outage tells of all that lapsed."""
+    def test_expired_engines(self, _name, listed, removed, kept):
+        """Engines that expire together, as after an outage, are kept longer."""
         self.start(route('safe'), answers=[_PLAIN] * listed)
         for number in range(removed):
             self.store.remove('servers', f'i-{number}')
@@ -109,8 +109,8 @@
         self.assertEqual(listed - removed, left)
 
     @parameterized.expand([('soon', 0.4), ('after_the_slowest', 1.66)])
-    def test_lapsed_engine_that_is_listed_again(self, _name, seconds):
-        """Those that live were seen back up to 1.66 s after the news."""
+    def test_expired_engine_that_registers_again(self, _name, seconds):
+        """Expired engines are kept until live ones have registered again."""
         self.start(route('safe'), answers=[_PLAIN] * 2)
         for number in range(2):
             self.store.remove('servers', f'i-{number}')
@@ -118,17 +118,17 @@
         self.assertEqual(2, len(self.entry.fleet.engines.ready('s1')))
         self.store.set('servers', 'i-0', engine(self.engines[0].address))
         gevent.sleep(2 - seconds)
-        names = [one.engine for one in self.entry.fleet.engines.ready('s1')]
+        names = [ready.engine for ready in self.entry.fleet.engines.ready('s1')]
         self.assertEqual(['i-0'], names)
 
     @parameterized.expand([('at_once', 0.0), ('after_the_peers', 0.2)])
-    def test_one_watcher_asks_while_the_store_is_away(self, _name, seconds):
-        """Whichever list comes last, all watches end and one asks again."""
+    def test_one_watch_polls_while_the_store_is_away(self, _name, seconds):
+        """Only one watch polls a store that is away; all recover after it."""
         self._delay_engines(seconds)
         self.start(route('safe'), answers=[_PLAIN])
         self.store.trouble = Trouble.AWAY
-        # A watch that has seen the newest revision misses no history, so the
-        # history goes after one more change.
+        # A watch at the newest revision needs no history, so make one more
+        # change before the history is dropped.
         self.store.set('config', 'main', configuration(2, route('safe')))
         self.store.forget_history()
         watches = [
@@ -136,39 +136,41 @@
             self.entry.fleet.engines_watch,
             self.entry.peers_watch,
         ]
-        # Each of them fails once by itself before it waits for the others,
-        # and its pause grows to its longest, 0.2 to 0.6 s, within 2 s.
-        eventually(lambda: not any(one.current for one in watches))
+        # Each watch fails once before it waits for the others, and its backoff
+        # reaches its maximum of 0.2 to 0.6 s within 2 s.
+        eventually(lambda: not any(watch.current for watch in watches))
         gevent.sleep(2)
         before = len(self.store.calls)
         gevent.sleep(2)
         self.assertLessEqual(len(self.store.calls) - before, 10)
         self.store.trouble = Trouble.NONE
-        eventually(lambda: all(one.current for one in watches), 1.5)
+        eventually(lambda: all(watch.current for watch in watches), 1.5)
 
     def _delay_engines(self, seconds):
-        """Have the list of engines read some seconds late."""
+        """Delay the listing of engines by some seconds."""
         listed = PlatformStore.list_entries
 
-        def late(store, prefix):
+        def list_late(store, prefix):
             if prefix == 'servers/':
                 gevent.sleep(seconds)
             return listed(store, prefix)
 
-        patched = mock.patch.object(PlatformStore, 'list_entries', late)
+        patched = mock.patch.object(PlatformStore, 'list_entries', list_late)
         patched.start()
         self.addCleanup(patched.stop)
 
-    @parameterized.expand([('told_by_a_peer', True), ('not_told', False)])
-    def test_watch_that_has_fallen_silent(self, _name, told):
-        """Its connection is open and says nothing more: peers know better."""
+    @parameterized.expand(
+        [('reported_by_a_peer', True), ('not_reported', False)]
+    )
+    def test_silent_watch(self, _name, reported):
+        """A peer's newer revision reveals a watch whose connection is dead."""
         holder = self._silence_watches()
         gevent.sleep(0.3)
         self.store.trouble = Trouble.NONE
         made = configuration(3, route('safe'))
         revision = self.store.set('config', 'main', made)
         for _report in range(20):
-            if told:
+            if reported:
                 self.entry.fleet.notice(
                     NodeReport(
                         node='entry-2',
@@ -178,29 +180,29 @@
                     )
                 )
             gevent.sleep(0.05)
-        self.assertEqual(3 if told else 2, holder.known.version)
+        self.assertEqual(3 if reported else 2, holder.known.version)
 
     @parameterized.expand(
         [
             ('peer_saw_it_end', 400, 100, 3),
-            ('peer_is_still_turned_away', 100, 400, 2),
+            ('peer_still_fails', 100, 400, 2),
             ('outage_was_before_the_call', 9000, 100, 2),
         ]
     )
     def test_watch_held_over_an_outage(self, _name, failed, answered, version):
-        """All watches may have fallen silent: no peer knows a revision."""
+        """Watches restart after an outage that only a peer has noticed."""
         holder = self._silence_watches()
         gevent.sleep(1)
         self.store.trouble = Trouble.NONE
         self.store.set('config', 'main', configuration(3, route('safe')))
-        told = NodeReport(
+        reported = NodeReport(
             node='owner-1',
             sound=True,
             leaving=False,
             failed_ms=failed,
             answered_ms=answered,
         )
-        self.entry.fleet.notice(told)
+        self.entry.fleet.notice(reported)
         gevent.sleep(0.3)
         self.assertEqual(version, holder.known.version)
 
@@ -216,7 +218,7 @@
         self.assertEqual(503, self._ready())
 
     def _silence_watches(self):
-        """Have the held watches say nothing after one more change."""
+        """Make the held watches silent after one more change."""
         self.start(route('safe'), answers=[_PLAIN])
         self.hold()
         self.store.trouble = Trouble.SILENT
