--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -177,7 +177,7 @@
             run.last_output_at = clock.uptime()
             for event in splitter.feed(part):
                 _append_event(run.progress, event)
-        if splitter.rest:
+        if splitter.remainder:
             raise RunFailedError('response ended within an event')
         if not run.progress.texts:
             raise RunFailedError('response has no events')
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._jobs.shards import shard_of
 from bendlead_gateway._jobs.told_team import tell_team
 from bendlead_gateway._log import Log
-from bendlead_gateway._online.relay import passed_on
+from bendlead_gateway._online.relay import end_to_end_headers
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import Team, TeamName
 
@@ -145,7 +145,7 @@
             return connection.request(
                 request.method,
                 request.target,
-                passed_on(request.headers),
+                end_to_end_headers(request.headers),
                 request.body,
                 _ANSWER_SECONDS,
             )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -30,7 +30,7 @@
     UnknownOutcomeError,
     UnreachableError,
 )
-from bendlead_gateway._online.relay import AnswerRelay, passed_on
+from bendlead_gateway._online.relay import AnswerRelay, end_to_end_headers
 from bendlead_gateway._scheduling.retry import SecondTries, any_free
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._suspects.ends import Break
@@ -183,7 +183,7 @@
     ) -> None:
         request = exchange.request
         headers = self._dialect.engine_headers(
-            passed_on(request.headers),
+            end_to_end_headers(request.headers),
             engine.engine,
             exchange.seconds_left,
             exchange.last_event,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/events.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/events.py
@@ -22,7 +22,7 @@
         self._remainder = b''
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Return the bytes received after the last complete event."""
         return self._remainder
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -37,7 +37,7 @@
 _MIN_SILENCE_SECONDS = 0.5
 
 
-def passed_on(headers: Headers) -> list[tuple[str, str]]:
+def end_to_end_headers(headers: Headers) -> list[tuple[str, str]]:
     """Return the headers without those that apply to one connection."""
     return [
         (name, text)
@@ -127,7 +127,7 @@
                 self._write_events(list(splitter.feed(part)))
         except BrokenAnswerError as error:
             raise BrokenStreamError(str(error)) from error
-        if splitter.rest:
+        if splitter.remainder:
             raise BrokenStreamError('stream ended within an event')
         exchange.responder.finish()
 
@@ -174,5 +174,8 @@
         stream = exchange.route.kind is RouteKind.STREAM
         body_bytes = int(length) if length and not stream else None
         exchange.responder.start(
-            head.status, head.reason, passed_on(head.headers), body_bytes
+            head.status,
+            head.reason,
+            end_to_end_headers(head.headers),
+            body_bytes,
         )
