--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._jobs.relay import JobRelay
 from bendlead_gateway._node import Node
 from bendlead_gateway._online.path import REFUSED, OnlinePath
-from bendlead_gateway._online.waiting_room import WaitingRoom
+from bendlead_gateway._online.request_queue import RequestQueue
 from bendlead_gateway._scheduling.overload import (
     ResourceUse,
     Strain,
@@ -67,7 +67,7 @@
         super().__init__(settings, store, dialect)
         team_named = self.fleet.configuration.team_named
         self.shares = TeamShares(team_named)
-        self.room = WaitingRoom(
+        self.room = RequestQueue(
             self.fleet.balancer.wait, self.shares, team_named, self.metrics
         )
         self._online = OnlinePath(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
@@ -7,7 +7,7 @@
 from bendlead_gateway._fleet.catalog import ConfigurationHolder
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._online.exchange import Exchange
-from bendlead_gateway._online.waiting_room import Fairness, WaitingRoom
+from bendlead_gateway._online.request_queue import FairShares, RequestQueue
 from bendlead_gateway._scheduling.admission import (
     AdmissionRequest,
     Refusal,
@@ -23,13 +23,13 @@
         self,
         configuration: ConfigurationHolder,
         metrics: Metrics,
-        fairness: Fairness,
-        room: WaitingRoom,
+        shares: FairShares,
+        queue: RequestQueue,
     ) -> None:
         self._configuration = configuration
         self._metrics = metrics
-        self._fairness = fairness
-        self._room = room
+        self._shares = shares
+        self._queue = queue
 
     def admit(
         self, exchange: Exchange, service: ServiceName, wait: float
@@ -45,7 +45,7 @@
         refusal = judge(admission_request, wait, random.random)
         if refusal is None:
             return None
-        not_queued = self._room.hold(exchange, service)
+        not_queued = self._queue.wait(exchange, service)
         if not_queued is None:
             exchange.dequeued = True
             return None
@@ -57,14 +57,14 @@
 
     def finished(self, service: ServiceName) -> None:
         """Record that a request has ended and freed its slot."""
-        self._room.finished(service)
+        self._queue.finished(service)
 
     def _admission_request(
         self, exchange: Exchange, service: ServiceName
     ) -> AdmissionRequest:
         team = self._configuration.team_named(exchange.team)
-        exchange.turn = self._fairness.turn(team)
-        behind = self._room.first_before(service, exchange.turn)
+        exchange.turn = self._shares.turn(team)
+        behind = self._queue.is_ahead_of(service, exchange.turn)
         return AdmissionRequest(
             exchange.route.target,
             exchange.facts.patience,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -25,7 +25,7 @@
     UnknownOutcomeError,
     UnreachableError,
 )
-from bendlead_gateway._online.waiting_room import Fairness, WaitingRoom
+from bendlead_gateway._online.request_queue import FairShares, RequestQueue
 from bendlead_gateway._scheduling import retry
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._suspects.evidence import REQUEST_SECONDS
@@ -62,15 +62,15 @@
         fleet: Fleet,
         log: Log,
         metrics: Metrics,
-        fairness: Fairness,
-        queue: WaitingRoom,
+        shares: FairShares,
+        queue: RequestQueue,
     ) -> None:
         self._fleet = fleet
         self._attempts = Attempts(dialect, fleet, log, metrics)
         self._log = log
         self._metrics = metrics
         self._admission = AdmissionControl(
-            fleet.configuration, metrics, fairness, queue
+            fleet.configuration, metrics, shares, queue
         )
 
     def serve(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/waiting_room.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -24,14 +24,14 @@
 _POLL_SECONDS = 0.02
 
 
-class Fairness(Protocol):
+class FairShares(Protocol):
     """Source of the use that teams make of their shares."""
 
     def turn(self, team: Team | None) -> Turn:
         """Return the team's recent requests and its share."""
 
 
-class WaitingRoom:
+class RequestQueue:
     """Queue requests by service and release them as slots come free.
 
     Each request waits in the greenlet that serves it. Where its client leaves
@@ -41,14 +41,14 @@
     def __init__(
         self,
         wait_of: Callable[[ServiceName], float | None],
-        fairness: Fairness,
+        shares: FairShares,
         team_named: Callable[[TeamName], Team | None],
         metrics: Metrics,
         now: Callable[[], float] = clock.uptime,
     ) -> None:
         """Make a queue; ``wait_of`` returns the wait (s) of a service."""
         self._wait_of = wait_of
-        self._fairness = fairness
+        self._shares = shares
         self._team_named = team_named
         self._metrics = metrics
         self._now = now
@@ -66,7 +66,7 @@
             counts[queued.team] = counts.get(queued.team, 0) + 1
         return counts
 
-    def first_before(self, service: ServiceName, turn: Turn) -> bool:
+    def is_ahead_of(self, service: ServiceName, turn: Turn) -> bool:
         """Return whether a queued request goes before a new one."""
         return self._rules_of(service).first_before(turn)
 
@@ -74,7 +74,7 @@
         """Record that a request of this process has freed its slot."""
         self._rules_of(service).finished()
 
-    def hold(self, exchange: Exchange, service: ServiceName) -> str | None:
+    def wait(self, exchange: Exchange, service: ServiceName) -> str | None:
         """Wait for a slot; return why none was available, else ``None``."""
         queued = self._make_queued(exchange)
         if queued is None:
@@ -153,7 +153,7 @@
 
     def _release_next(self, service: ServiceName, rules: WaitingRules) -> None:
         for queued in rules.held:
-            queued.turn = self._fairness.turn(self._team_named(queued.team))
+            queued.turn = self._shares.turn(self._team_named(queued.team))
         for unlikely in rules.hopeless():
             self._wake(rules, unlikely, 'no slot expected before its deadline')
         wait = self._wait_of(service)
