--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -63,7 +63,7 @@
         self._second_tries = SecondTries()
 
     def make(self, exchange: Exchange, view: EngineView) -> None:
-        """Serve the request from this engine.
+        """Have the engine serve the request.
 
         Raises ``NotRunError``, ``UnknownOutcomeError`` or
         ``BrokenStreamError`` where the engine gives no complete response.
@@ -142,7 +142,7 @@
         timeout = self._head_timeout(exchange, view)
         reused = connection.used
         silent = False
-        exchange.in_flight = True
+        exchange.maybe_delivered = True
         exchange.sent_at = clock.uptime()
         try:
             self._send(exchange, engine, connection)
@@ -168,7 +168,7 @@
     def _head_timeout(
         self, exchange: Exchange, view: EngineView
     ) -> float | None:
-        """Return the time (s) after which to retry elsewhere, if at all."""
+        """Return the timeout (s) for the head, ``None`` if not to retry."""
         if view.free <= 0 or not exchange.may_fail_over:
             # The request may be queued at the engine, so silence is no fault.
             return None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
@@ -33,8 +33,8 @@
     tried: set[EngineId] = field(default_factory=set)
     choice: Choice = field(default_factory=Choice)
     runs: int = 0
-    #: Whether an engine may be running the request now.
-    in_flight: bool = False
+    #: Whether the latest engine may have received the request.
+    maybe_delivered: bool = False
     sends: int = 0
     #: Start of the latest send, in seconds of uptime.
     sent_at: float = 0
@@ -83,7 +83,7 @@
     @property
     def may_have_run(self) -> bool:
         """Return whether any engine may have run the request."""
-        return self.in_flight or self.runs > 0
+        return self.maybe_delivered or self.runs > 0
 
     @property
     def may_run_again(self) -> bool:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -175,7 +175,7 @@
         except NotRunError as refused:
             # It took no slot, so none was freed.
             took_slot = False
-            exchange.in_flight = False
+            exchange.maybe_delivered = False
             unreachable = isinstance(refused, UnreachableError)
             if self._should_refuse_now(exchange, unreachable):
                 return self._give_up(exchange, str(refused))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -32,7 +32,7 @@
     ),
 )
 #: A resumable stream is resumed on another engine after a silence of this many
-#: gap targets, and at least of the minimum.
+#: gap targets, but not before the minimum.
 _SILENCE_GAP_TARGETS = 3.0
 _MIN_SILENCE_SECONDS = 0.5
 
