--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -115,7 +115,9 @@
             if answer.misdirected:
                 self._health.failed(engine.engine, unreachable=True)
                 self._shared.failed(engine, FailureKind.REFUSED, None)
-            raise NotRunError(f'engine answered {head.status}, request not run')
+            raise NotRunError(
+                f'engine responded with status {head.status}, request not run'
+            )
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             paused = self._health.failed(engine.engine)
             self._log_failure(
@@ -125,7 +127,9 @@
             self._shared.failed(engine, kind, exchange.digest)
             if exchange.may_fail_over:
                 connection.keep_no_longer()
-                raise UnknownOutcomeError(f'engine answered {head.status}')
+                raise UnknownOutcomeError(
+                    f'engine responded with status {head.status}'
+                )
         else:
             self._shared.answered(
                 engine, exchange.sent_at, lambda: exchange.digest
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -76,9 +76,7 @@
         if stream and exchange.route.resumable and head.status == HTTPStatus.OK:
             self._relay_events(head)
         elif exchange.responder.started:
-            raise BrokenStreamError(
-                f'resume failed: engine answered {head.status}'
-            )
+            raise BrokenStreamError(f'resume failed with status {head.status}')
         elif stream:
             self._relay_bytes(head)
         else:
@@ -128,7 +126,7 @@
         except BrokenAnswerError as error:
             raise BrokenStreamError(str(error)) from error
         if splitter.remainder:
-            raise BrokenStreamError('stream ended within an event')
+            raise BrokenStreamError('response ended within an event')
         exchange.responder.finish()
 
     def _write_events(self, events: list[StreamEvent]) -> None:
@@ -141,9 +139,11 @@
     def _check_order(self, number: int | None) -> None:
         previous = self._exchange.last_event
         if number is None:
-            raise BrokenAnswerError('stream event without a numeric id')
+            raise BrokenAnswerError('event without an event number')
         if previous is not None and number != previous + 1:
-            raise BrokenAnswerError(f'stream event {number} after {previous}')
+            raise BrokenAnswerError(
+                f'event {number} received after event {previous}'
+            )
         self._exchange.last_event = number
 
     def _parts(self, head: ResponseHead, timeout: float) -> Iterator[bytes]:
