--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -7,9 +7,9 @@
 from bendlead_gateway._fleet.health import EngineHealth
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.pace import PaceTable
+from bendlead_gateway._health.health_state import Finding, Standing
 from bendlead_gateway._health.preference import preferred
 from bendlead_gateway._health.shared import SharedHealth
-from bendlead_gateway._health.verdict import Finding, Standing
 from bendlead_gateway._scheduling.placement import (
     Placement,
     Traffic,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._fleet.pool import EnginePool
 from bendlead_gateway._fleet.refusals import Refusals
 from bendlead_gateway._fleet.watcher import Follower, Watcher
-from bendlead_gateway._health.judge import Seat
+from bendlead_gateway._health.evaluator import Seat
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/telling.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/codec.py
@@ -8,7 +8,7 @@
 from bendlead_schema.gateway import EngineEvidence
 from result import Err, Ok, Result
 
-from bendlead_gateway._health.testimony import (
+from bendlead_gateway._health.observation import (
     EngineLife,
     FailureKind,
     Testimony,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/judge.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
@@ -16,14 +16,14 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from bendlead_gateway._health.testimony import (
+from bendlead_gateway._health.health_state import Finding, Standing
+from bendlead_gateway._health.observation import (
     MOST_FAILURES,
     EngineLife,
     Faded,
     Testimony,
     life_of,
 )
-from bendlead_gateway._health.verdict import Finding, Standing
 from bendlead_gateway.types import DataHall, Engine, NodeName
 
 #: An engine that fails this share of its requests is to be left alone,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
@@ -11,7 +11,7 @@
 
 from msgspec.structs import replace
 
-from bendlead_gateway._health.testimony import (
+from bendlead_gateway._health.observation import (
     MOST_FAILURES,
     EngineLife,
     FailureKind,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/requests.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failed_requests.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from bendlead_gateway._health.testimony import EngineLife
+from bendlead_gateway._health.observation import EngineLife
 from bendlead_gateway._suspects.digest import RequestDigest
 
 #: Requests remembered; the oldest go first.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/kinds.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
@@ -3,7 +3,7 @@
 import errno
 from http import HTTPStatus
 
-from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import SilentPeerError
 
 #: These say that this process has no more room, or no network.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/verdicts.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
+from bendlead_gateway._health.evaluator import Judge, Seat, ServiceEngines
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.judge import Judge, Seat, ServiceEngines
-from bendlead_gateway._health.testimony import EngineLife
-from bendlead_gateway._health.verdict import Finding, Standing
+from bendlead_gateway._health.health_state import Finding, Standing
+from bendlead_gateway._health.observation import EngineLife
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import DataHall, Engine, NodeName, ServiceName
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -7,18 +7,18 @@
 from bendlead_store import clock
 from result import Err
 
-from bendlead_gateway._health import telling
+from bendlead_gateway._health import codec
+from bendlead_gateway._health.evaluator import Seat
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.judge import Seat
-from bendlead_gateway._health.requests import FailedRequests
-from bendlead_gateway._health.testimony import (
+from bendlead_gateway._health.failed_requests import FailedRequests
+from bendlead_gateway._health.health_state import Finding, Standing
+from bendlead_gateway._health.monitor import ListEngines, ListHalls, Verdicts
+from bendlead_gateway._health.observation import (
     EngineLife,
     FailureKind,
     life_of,
 )
 from bendlead_gateway._health.trial import ListTriers, TrialSchedule, Trier
-from bendlead_gateway._health.verdict import Finding, Standing
-from bendlead_gateway._health.verdicts import ListEngines, ListHalls, Verdicts
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.view import EngineView
@@ -126,8 +126,8 @@
         now = clock.uptime()
         lives = {life_of(one) for one in self._list_engines()}
         for one in told:
-            life = telling.life_told(one)
-            found = telling.read(one, now)
+            life = codec.life_told(one)
+            found = codec.read(one, now)
             if isinstance(found, Err):
                 self._pass_over(one, found.err_value)
             elif life in lives:
@@ -143,7 +143,7 @@
             if len(told) == _MOST_TOLD:
                 break
             after = number
-            told.append(telling.write(life, one, now))
+            told.append(codec.write(life, one, now))
         return after, told
 
     def forget(self, engine: Engine) -> None:
@@ -164,7 +164,7 @@
                 'good_needed': one.good_needed,
                 'tries': self._holder(life, one, now),
                 'evidence': [
-                    telling.write(life, testimony, now)
+                    codec.write(life, testimony, now)
                     for testimony in self._evidence.cases[life].values()
                 ],
             }
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._health.testimony import EngineLife
+from bendlead_gateway._health.observation import EngineLife
 from bendlead_gateway.types import NodeName
 
 #: How long a process has the turn (s): an entry gets a request that may be
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import HttpConnection, ResponseHead
 from bendlead_gateway._jobs.board import Board
 from bendlead_gateway._jobs.held import ITEM_METHOD, HeldJob, Progress
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Sequence
 
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
 from bendlead_gateway._jobs.candidates import Candidates
 from bendlead_gateway._jobs.item_run import ItemRun
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -8,8 +8,8 @@
 
 from bendlead_gateway._fleet.balancer import pick_service
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._health.kinds import kind_of, kind_of_answer
-from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._health.failure_kinds import kind_of, kind_of_answer
+from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
 from bendlead_gateway._jobs.board import Board
 from bendlead_gateway._jobs.candidates import Candidate, Candidates
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -6,12 +6,12 @@
 from bendlead_store import clock
 
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._health.kinds import (
+from bendlead_gateway._health.failure_kinds import (
     kind_of,
     kind_of_answer,
     kind_without_answer,
 )
-from bendlead_gateway._health.testimony import FailureKind
+from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import (
     BrokenAnswerError,
     HttpConnection,
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -14,17 +14,17 @@
 from unittest import mock
 
 from bendlead_gateway._fleet import health
+from bendlead_gateway._health.evaluator import Judge, Seat
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.judge import Judge, Seat
-from bendlead_gateway._health.preference import preferred
-from bendlead_gateway._health.testimony import (
+from bendlead_gateway._health.health_state import Standing
+from bendlead_gateway._health.monitor import Verdicts
+from bendlead_gateway._health.observation import (
     EngineLife,
     FailureKind,
     life_of,
 )
+from bendlead_gateway._health.preference import preferred
 from bendlead_gateway._health.trial import TrialSchedule, Trier, rank
-from bendlead_gateway._health.verdict import Standing
-from bendlead_gateway._health.verdicts import Verdicts
 from bendlead_gateway._scheduling.placement import Traffic, choose
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -5,17 +5,17 @@
 from uuid import uuid4
 
 import gevent
+from bendlead_gateway._health.evaluator import Judge, Seat, ServiceEngines
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.judge import Judge, Seat, ServiceEngines
-from bendlead_gateway._health.preference import preferred
-from bendlead_gateway._health.testimony import (
+from bendlead_gateway._health.health_state import Standing
+from bendlead_gateway._health.observation import (
     EngineLife,
     FailureKind,
     Testimony,
     life_of,
 )
+from bendlead_gateway._health.preference import preferred
 from bendlead_gateway._health.trial import TURN_SECONDS, TrialSchedule, Trier
-from bendlead_gateway._health.verdict import Standing
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
--- a/tests/test_gateway_evidence.py
+++ b/tests/test_gateway_evidence.py
@@ -9,11 +9,11 @@
 import msgspec
 from bendlead_gateway._entry import EntryNode
 from bendlead_gateway._health import shared as shared_module
-from bendlead_gateway._health.judge import Seat
+from bendlead_gateway._health.evaluator import Seat
+from bendlead_gateway._health.health_state import Standing
+from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._health.shared import SharedHealth
-from bendlead_gateway._health.testimony import FailureKind
 from bendlead_gateway._health.trial import Trier
-from bendlead_gateway._health.verdict import Standing
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway.http import HttpConnection
 from bendlead_gateway.types import (
