--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/codec.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/codec.py
@@ -9,9 +9,9 @@
 from result import Err, Ok, Result
 
 from bendlead_gateway._health.observation import (
-    EngineLife,
+    EngineIncarnation,
     FailureKind,
-    Testimony,
+    Observation,
 )
 from bendlead_gateway.types import EngineId, NodeName
 
@@ -24,7 +24,9 @@
 _NEVER = -1
 
 
-def write(life: EngineLife, one: Testimony, now: float) -> EngineEvidence:
+def write(
+    life: EngineIncarnation, one: Observation, now: float
+) -> EngineEvidence:
     """Tell a testimony to a peer."""
     failed = math.isfinite(one.failed_at)
     return EngineEvidence(
@@ -43,7 +45,7 @@
     )
 
 
-def read(told: EngineEvidence, now: float) -> Result[Testimony, str]:
+def read(told: EngineEvidence, now: float) -> Result[Observation, str]:
     """Read a testimony, or say why it can't be true."""
     counts = [*told.failures.values(), told.answers, told.good]
     if not told.engine or not told.witness:
@@ -59,7 +61,7 @@
     if told.failed_ms != _NEVER:
         failed_at = now - told.failed_ms / _MS
     return Ok(
-        Testimony(
+        Observation(
             NodeName(told.witness),
             now - told.age_ms / _MS,
             told.version,
@@ -71,9 +73,9 @@
     )
 
 
-def life_told(told: EngineEvidence) -> EngineLife:
+def incarnation_in(told: EngineEvidence) -> EngineIncarnation:
     """Name the life that a testimony is about."""
-    return EngineLife(EngineId(told.engine), told.born)
+    return EngineIncarnation(EngineId(told.engine), told.born)
 
 
 def _known_kinds(failures: dict[str, float]) -> dict[FailureKind, float]:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
@@ -18,11 +18,11 @@
 
 from bendlead_gateway._health.health_state import Finding, Standing
 from bendlead_gateway._health.observation import (
-    MOST_FAILURES,
-    EngineLife,
-    Faded,
-    Testimony,
-    life_of,
+    MAX_FAILURES,
+    DecayedObservation,
+    EngineIncarnation,
+    Observation,
+    incarnation_of,
 )
 from bendlead_gateway.types import DataHall, Engine, NodeName
 
@@ -77,18 +77,18 @@
 class ServiceEngines(Struct, frozen=True):
     """Hold the engines of a service by their lives, and how many a hall has."""
 
-    lives: Mapping[EngineLife, Engine]
+    lives: Mapping[EngineIncarnation, Engine]
     halls: Mapping[DataHall, int]
 
     @classmethod
     def of(cls, engines: Sequence[Engine]) -> 'ServiceEngines':
         """Sort the engines of a service."""
-        lives = {life_of(one): one for one in engines}
+        lives = {incarnation_of(one): one for one in engines}
         return cls(lives, _sizes(engines))
 
 
 #: Testimonies on a life by their witnesses.
-Case = Mapping[NodeName, Testimony]
+Case = Mapping[NodeName, Observation]
 
 
 class Judge:
@@ -98,7 +98,7 @@
         self,
         seat: Seat,
         engines: ServiceEngines,
-        cases: Mapping[EngineLife, Case],
+        cases: Mapping[EngineIncarnation, Case],
         halls: Mapping[NodeName, DataHall],
         now: float,
     ) -> None:
@@ -106,7 +106,9 @@
         self._engines = engines
         self._halls = halls
         self._now = now
-        self._cases: dict[EngineLife, dict[NodeName, Faded]] = {}
+        self._cases: dict[
+            EngineIncarnation, dict[NodeName, DecayedObservation]
+        ] = {}
         for life, case in cases.items():
             if life in engines.lives:
                 self._cases[life] = {
@@ -115,8 +117,8 @@
         self._distrusted = self.find_distrusted()
 
     def findings(
-        self, apart: Collection[EngineLife]
-    ) -> dict[EngineLife, Finding]:
+        self, apart: Collection[EngineIncarnation]
+    ) -> dict[EngineIncarnation, Finding]:
         """Judge each life with a case; some were set apart until now."""
         found = {life: self._weigh(life) for life in self._cases}
         bad = [
@@ -131,20 +133,20 @@
             for life, one in found.items()
         }
 
-    def credible(self, life: EngineLife) -> Iterable[Faded]:
+    def credible(self, life: EngineIncarnation) -> Iterable[DecayedObservation]:
         """List the testimonies that count here."""
         for witness, one in self._cases[life].items():
             if (witness, life) not in self._distrusted:
                 yield one
 
-    def weight(self, one: Faded) -> float:
+    def weight(self, one: DecayedObservation) -> float:
         """Bound what another process alone can say."""
         own = one.said.witness == self._seat.node
         if own or one.weighed <= _MOST_ALONE:
             return 1
         return _MOST_ALONE / one.weighed
 
-    def find_distrusted(self) -> set[tuple[NodeName, EngineLife]]:
+    def find_distrusted(self) -> set[tuple[NodeName, EngineIncarnation]]:
         """Find what witnesses say because of their own links."""
         failing: dict[NodeName, list[Engine]] = {}
         for life, case in self._cases.items():
@@ -152,7 +154,7 @@
             for witness, one in case.items():
                 if one.failed >= _FAILING:
                     failing.setdefault(witness, []).append(engine)
-        distrusted: set[tuple[NodeName, EngineLife]] = set()
+        distrusted: set[tuple[NodeName, EngineIncarnation]] = set()
         for witness, engines in failing.items():
             if witness == self._seat.node:
                 continue
@@ -160,10 +162,10 @@
                 cut = engines
             else:
                 cut = self._cut_off(witness, engines)
-            distrusted.update((witness, life_of(one)) for one in cut)
+            distrusted.update((witness, incarnation_of(one)) for one in cut)
         return distrusted
 
-    def _weigh(self, life: EngineLife) -> Finding:
+    def _weigh(self, life: EngineIncarnation) -> Finding:
         """Add up what counts of a case."""
         failures = 0.0
         answers = 0.0
@@ -172,7 +174,7 @@
             weight = self.weight(one)
             failures += one.weighed * weight
             answers += one.answered * weight
-        most = _MOST_ALONE if self._elsewhere(heard) else MOST_FAILURES
+        most = _MOST_ALONE if self._elsewhere(heard) else MAX_FAILURES
         failures = min(failures, most)
         said = [one.said for one in heard]
         failed_at = max((one.failed_at for one in said), default=-math.inf)
@@ -190,7 +192,7 @@
             ),
         )
 
-    def _elsewhere(self, heard: Sequence[Faded]) -> bool:
+    def _elsewhere(self, heard: Sequence[DecayedObservation]) -> bool:
         """Tell whether one other hall alone finds an engine failing.
 
         The way from there may fail, and not the engine.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
@@ -12,11 +12,11 @@
 from msgspec.structs import replace
 
 from bendlead_gateway._health.observation import (
-    MOST_FAILURES,
-    EngineLife,
+    MAX_FAILURES,
+    EngineIncarnation,
     FailureKind,
-    Testimony,
-    fading,
+    Observation,
+    decay_factor,
 )
 from bendlead_gateway.types import NodeName
 
@@ -27,7 +27,7 @@
 _TOLD_TOGETHER = 2
 _MS = 1000
 
-_Key = tuple[EngineLife, NodeName]
+_Key = tuple[EngineIncarnation, NodeName]
 
 
 class EvidenceTable:
@@ -38,12 +38,12 @@
 
     def __init__(self, own: NodeName) -> None:
         self._own = own
-        self._cases: dict[EngineLife, dict[NodeName, Testimony]] = {}
-        self._opened: dict[EngineLife, float] = {}
+        self._cases: dict[EngineIncarnation, dict[NodeName, Observation]] = {}
+        self._opened: dict[EngineIncarnation, float] = {}
         #: In the order in which they arrived, by number.
         self._arrivals: dict[_Key, int] = {}
         self._arrived = 0
-        self._untold: dict[EngineLife, int] = {}
+        self._untold: dict[EngineIncarnation, int] = {}
 
     @property
     def arrived(self) -> int:
@@ -51,18 +51,24 @@
         return self._arrived
 
     @property
-    def cases(self) -> Mapping[EngineLife, Mapping[NodeName, Testimony]]:
+    def cases(
+        self,
+    ) -> Mapping[EngineIncarnation, Mapping[NodeName, Observation]]:
         """Give the testimonies on each life under suspicion."""
         return self._cases
 
     def failed(
-        self, life: EngineLife, kind: FailureKind, now: float, stamp: float
+        self,
+        life: EngineIncarnation,
+        kind: FailureKind,
+        now: float,
+        stamp: float,
     ) -> None:
         """Note a failure seen here; the stamp is the time of day (s)."""
         known = self._mine(life, now, stamp)
         failures = dict(known.failures)
         counted = sum(failures.values())
-        if counted < MOST_FAILURES:
+        if counted < MAX_FAILURES:
             failures[kind] = failures.get(kind, 0) + 1
         self._put(
             life, replace(known, failures=failures, good=0, failed_at=now)
@@ -70,7 +76,7 @@
 
     def answered(
         self,
-        life: EngineLife,
+        life: EngineIncarnation,
         began: float,
         now: float,
         stamp: float,
@@ -95,11 +101,11 @@
         answers = known.answers + 1
         self._put(life, replace(known, answers=answers, good=good), tell=tell)
 
-    def failed_at(self, life: EngineLife) -> float:
+    def failed_at(self, life: EngineIncarnation) -> float:
         """Give when anybody saw the latest failure of a life (s)."""
         return max(one.failed_at for one in self._cases[life].values())
 
-    def take(self, life: EngineLife, told: Testimony) -> bool:
+    def take(self, life: EngineIncarnation, told: Observation) -> bool:
         """Take a testimony of another process; tell whether it is news."""
         if told.witness == self._own:
             return False
@@ -111,9 +117,9 @@
 
     def since(
         self, arrival: int
-    ) -> Iterator[tuple[int, EngineLife, Testimony]]:
+    ) -> Iterator[tuple[int, EngineIncarnation, Observation]]:
         """List what arrived after a number, the earliest first."""
-        newer: list[tuple[int, EngineLife, Testimony]] = []
+        newer: list[tuple[int, EngineIncarnation, Observation]] = []
         for key, number in reversed(self._arrivals.items()):
             if number <= arrival:
                 break
@@ -121,7 +127,7 @@
             newer.append((number, life, self._cases[life][witness]))
         return reversed(newer)
 
-    def forget(self, life: EngineLife) -> None:
+    def forget(self, life: EngineIncarnation) -> None:
         """Forget a life that is over."""
         for witness in self._cases.pop(life, {}):
             self._arrivals.pop((life, witness), None)
@@ -138,12 +144,14 @@
             if not any(one.faded(now).accuses for one in case.values()):
                 self.forget(life)
 
-    def _mine(self, life: EngineLife, now: float, stamp: float) -> Testimony:
+    def _mine(
+        self, life: EngineIncarnation, now: float, stamp: float
+    ) -> Observation:
         """Give our testimony, faded to now and with the next version."""
         known = self._cases.get(life, {}).get(self._own)
         if known is None:
-            return Testimony(self._own, now, round(stamp * _MS))
-        left = fading(now - known.at)
+            return Observation(self._own, now, round(stamp * _MS))
+        left = decay_factor(now - known.at)
         return replace(
             known,
             at=now,
@@ -154,7 +162,7 @@
         )
 
     def _put(
-        self, life: EngineLife, one: Testimony, *, tell: bool = True
+        self, life: EngineIncarnation, one: Observation, *, tell: bool = True
     ) -> None:
         self._opened.setdefault(life, one.at)
         self._cases.setdefault(life, {})[one.witness] = one
@@ -167,7 +175,7 @@
         if len(self._arrivals) > _MOST_KEPT:
             self._drop(*next(iter(self._arrivals)))
 
-    def _drop(self, life: EngineLife, witness: NodeName) -> None:
+    def _drop(self, life: EngineIncarnation, witness: NodeName) -> None:
         self._arrivals.pop((life, witness), None)
         case = self._cases[life]
         case.pop(witness, None)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/failed_requests.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failed_requests.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from collections.abc import Callable
 
-from bendlead_gateway._health.observation import EngineLife
+from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway._suspects.digest import RequestDigest
 
 #: Requests remembered; the oldest go first.
@@ -18,9 +18,13 @@
     """Remember under which life of an engine each request failed first."""
 
     def __init__(self) -> None:
-        self._first: OrderedDict[RequestDigest, EngineLife] = OrderedDict()
+        self._first: OrderedDict[RequestDigest, EngineIncarnation] = (
+            OrderedDict()
+        )
 
-    def brings_failure(self, digest: RequestDigest, life: EngineLife) -> bool:
+    def brings_failure(
+        self, digest: RequestDigest, life: EngineIncarnation
+    ) -> bool:
         """Note a failure; tell whether the request failed elsewhere before."""
         first = self._first.setdefault(digest, life)
         if len(self._first) > _MOST_KEPT:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
@@ -5,7 +5,7 @@
 from bendlead_gateway._health.evaluator import Judge, Seat, ServiceEngines
 from bendlead_gateway._health.evidence import EvidenceTable
 from bendlead_gateway._health.health_state import Finding, Standing
-from bendlead_gateway._health.observation import EngineLife
+from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import DataHall, Engine, NodeName, ServiceName
 
@@ -39,14 +39,14 @@
         self._list_engines = list_engines
         self._log = log
         self._judge = judge
-        self._found: dict[EngineLife, Finding] = {}
+        self._found: dict[EngineIncarnation, Finding] = {}
         self._looked_at = 0.0
         self._expired_at = 0.0
         self._stale = False
         self._services: Sequence[ServiceEngines] = ()
         self.list_halls: ListHalls = dict
 
-    def finding(self, life: EngineLife, now: float) -> Finding:
+    def finding(self, life: EngineIncarnation, now: float) -> Finding:
         """Give how an engine stands."""
         if not self._evidence.cases and not self._found:
             return _FINE
@@ -58,7 +58,7 @@
         """Weigh anew at the next question: something failed here."""
         self._stale = True
 
-    def all(self, now: float) -> Mapping[EngineLife, Finding]:
+    def all(self, now: float) -> Mapping[EngineIncarnation, Finding]:
         """Give how each engine under suspicion stands."""
         self._look(now)
         return self._found
@@ -70,7 +70,7 @@
             self._expired_at = now
             self._evidence.expire(now)
             self._services = self._sort_engines()
-        found: dict[EngineLife, Finding] = {}
+        found: dict[EngineIncarnation, Finding] = {}
         for engines in self._touched():
             judge = self._judge(
                 self._seat,
@@ -85,7 +85,7 @@
             self._note(life, self._found.get(life, _FINE), found.get(life))
         self._found = found
 
-    def _apart(self) -> frozenset[EngineLife]:
+    def _apart(self) -> frozenset[EngineIncarnation]:
         return frozenset(
             life for life, one in self._found.items() if one.out_of_rotation
         )
@@ -100,7 +100,7 @@
             one for one in self._services if not lives.isdisjoint(one.lives)
         ]
 
-    def _sorted(self, life: EngineLife) -> bool:
+    def _sorted(self, life: EngineIncarnation) -> bool:
         return any(life in one.lives for one in self._services)
 
     def _sort_engines(self) -> list[ServiceEngines]:
@@ -110,7 +110,7 @@
         return [ServiceEngines.of(engines) for engines in by_service.values()]
 
     def _note(
-        self, life: EngineLife, before: Finding, found: Finding | None
+        self, life: EngineIncarnation, before: Finding, found: Finding | None
     ) -> None:
         after = found or _FINE
         if _shown(after.standing) == _shown(before.standing):
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/observation.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/observation.py
@@ -12,10 +12,10 @@
 #: Counts fade to a third over this long (s): long enough that an engine that
 #: fails a tenth of its requests is told apart by the few that it gets, and
 #: short enough that one that was repaired is used again without any trial.
-MEMORY_SECONDS = 8.0
+DECAY_SECONDS = 8.0
 #: Failures of a life beyond these are not counted: all that run on an engine
 #: fail with it at once, and it would be left alone for long after its repair.
-MOST_FAILURES = 6.0
+MAX_FAILURES = 6.0
 #: A count that has faded below this tells nothing any more.
 _LEAST = 0.3
 
@@ -36,14 +36,14 @@
 _WEIGHTS = {FailureKind.REFUSED: 2.0, FailureKind.SLOW: 0.5}
 
 
-class EngineLife(NamedTuple):
+class EngineIncarnation(NamedTuple):
     """Name one life of an engine."""
 
     engine: EngineId
     born: int
 
 
-class Testimony(Struct, frozen=True):
+class Observation(Struct, frozen=True):
     """Keep what a witness found of a life, faded to a moment (s).
 
     ``good`` counts the answers that began since the last failure anybody had.
@@ -59,24 +59,26 @@
     #: When the witness saw the latest failure (s); minus infinity for never.
     failed_at: float = -math.inf
 
-    def faded(self, now: float) -> 'Faded':
+    def faded(self, now: float) -> 'DecayedObservation':
         """Give what is left of its counts."""
-        left = fading(now - self.at)
+        left = decay_factor(now - self.at)
         failed = sum(self.failures.values())
         weighed = sum(
             count * _WEIGHTS.get(kind, 1)
             for kind, count in self.failures.items()
         )
-        return Faded(self, failed * left, weighed * left, self.answers * left)
+        return DecayedObservation(
+            self, failed * left, weighed * left, self.answers * left
+        )
 
 
-class Faded(NamedTuple):
+class DecayedObservation(NamedTuple):
     """Hold what is left of a testimony's counts at one moment.
 
     ``weighed`` counts failures by how much each tells.
     """
 
-    said: Testimony
+    said: Observation
     failed: float
     weighed: float
     answered: float
@@ -92,11 +94,11 @@
         return max(self.failed, self.answered) > _LEAST
 
 
-def life_of(engine: Engine) -> EngineLife:
+def incarnation_of(engine: Engine) -> EngineIncarnation:
     """Name the life of an engine as it is listed."""
-    return EngineLife(engine.engine, engine.born)
+    return EngineIncarnation(engine.engine, engine.born)
 
 
-def fading(seconds: float) -> float:
+def decay_factor(seconds: float) -> float:
     """Give the part of a count that is left after some seconds."""
-    return math.exp(-max(0, seconds) / MEMORY_SECONDS)
+    return math.exp(-max(0, seconds) / DECAY_SECONDS)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -14,9 +14,9 @@
 from bendlead_gateway._health.health_state import Finding, Standing
 from bendlead_gateway._health.monitor import ListEngines, ListHalls, Verdicts
 from bendlead_gateway._health.observation import (
-    EngineLife,
+    EngineIncarnation,
     FailureKind,
-    life_of,
+    incarnation_of,
 )
 from bendlead_gateway._health.trial import ListTriers, TrialSchedule, Trier
 from bendlead_gateway._log import Log
@@ -48,7 +48,7 @@
         self._evidence = EvidenceTable(seat.node)
         self.verdicts = Verdicts(seat, self._evidence, list_engines, log)
         self._requests = FailedRequests()
-        self._trials: dict[EngineLife, float] = {}
+        self._trials: dict[EngineIncarnation, float] = {}
         self._turns = TrialSchedule(self._alone)
 
     def meet(self, list_triers: ListTriers, list_halls: ListHalls) -> None:
@@ -68,7 +68,7 @@
 
     def finding(self, engine: Engine) -> Finding:
         """Tell how an engine stands."""
-        return self.verdicts.finding(life_of(engine), clock.uptime())
+        return self.verdicts.finding(incarnation_of(engine), clock.uptime())
 
     def failed(
         self,
@@ -79,7 +79,7 @@
         """Note a failure, unless it is our own or the request brings it."""
         if kind is None:
             return
-        life = life_of(engine)
+        life = incarnation_of(engine)
         self._trials.pop(life, None)
         if digest and self._requests.brings_failure(digest, life):
             self._log.event(
@@ -98,7 +98,7 @@
     ) -> None:
         """Note the begin of a good answer to a request sent at a moment."""
         self._requests.answered(digest_of)
-        life = life_of(engine)
+        life = incarnation_of(engine)
         self._trials.pop(life, None)
         if life in self._evidence.cases:
             cleared = self.finding(engine).cleared
@@ -110,7 +110,7 @@
         """Take an engine that this process is to try now, if there is one."""
         for view in views:
             if view.paused and self._may_try(view):
-                life = life_of(view.engine)
+                life = incarnation_of(view.engine)
                 self._trials[life] = clock.uptime()
                 self._metrics.load.engine_trials += 1
                 self._log.event(
@@ -124,9 +124,9 @@
         if not told:
             return
         now = clock.uptime()
-        lives = {life_of(one) for one in self._list_engines()}
+        lives = {incarnation_of(one) for one in self._list_engines()}
         for one in told:
-            life = codec.life_told(one)
+            life = codec.incarnation_in(one)
             found = codec.read(one, now)
             if isinstance(found, Err):
                 self._pass_over(one, found.err_value)
@@ -148,8 +148,8 @@
 
     def forget(self, engine: Engine) -> None:
         """Forget a life of an engine that is over."""
-        self._evidence.forget(life_of(engine))
-        self._trials.pop(life_of(engine), None)
+        self._evidence.forget(incarnation_of(engine))
+        self._trials.pop(incarnation_of(engine), None)
 
     def summary(self) -> dict[str, object]:
         """Show standings with their evidence, for the state dump."""
@@ -178,13 +178,13 @@
         found = self.finding(view.engine)
         if found.standing is not Standing.ON_TRIAL:
             return False
-        life = life_of(view.engine)
+        life = incarnation_of(view.engine)
         if now - self._trials.get(life, -_TRIAL_SECONDS) < _TRIAL_SECONDS:
             return False
         return self._holder(life, found, now) == self._seat.node
 
     def _holder(
-        self, life: EngineLife, found: Finding, now: float
+        self, life: EngineIncarnation, found: Finding, now: float
     ) -> str | None:
         if not found.out_of_rotation:
             return None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._health.observation import EngineLife
+from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway.types import NodeName
 
 #: How long a process has the turn (s): an entry gets a request that may be
@@ -42,11 +42,11 @@
     def __init__(self, list_triers: ListTriers) -> None:
         self._list_triers = list_triers
         self._triers: Sequence[Trier] = ()
-        self._ranked: dict[EngineLife, Sequence[Trier]] = {}
+        self._ranked: dict[EngineIncarnation, Sequence[Trier]] = {}
         self._looked_at = -_LOOK_SECONDS
 
     def holder(
-        self, life: EngineLife, waited: float, now: float
+        self, life: EngineIncarnation, waited: float, now: float
     ) -> NodeName | None:
         """Name whose turn it is, some seconds after a trial was due."""
         if now - self._looked_at >= _LOOK_SECONDS:
@@ -62,12 +62,12 @@
         return ranked[turn % len(ranked)].node
 
 
-def rank(life: EngineLife, triers: Sequence[Trier]) -> Sequence[Trier]:
+def rank(life: EngineIncarnation, triers: Sequence[Trier]) -> Sequence[Trier]:
     """Rank processes for one life, all alike."""
     return sorted(triers, key=lambda one: _rank(life, one))
 
 
-def _rank(life: EngineLife, one: Trier) -> tuple[bool, bytes]:
+def _rank(life: EngineIncarnation, one: Trier) -> tuple[bool, bytes]:
     named = f'{life.engine}/{life.born}/{one.node}'
     return not one.items, blake2b(
         named.encode(), digest_size=_DIGEST_BYTES
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -19,9 +19,9 @@
 from bendlead_gateway._health.health_state import Standing
 from bendlead_gateway._health.monitor import Verdicts
 from bendlead_gateway._health.observation import (
-    EngineLife,
+    EngineIncarnation,
     FailureKind,
-    life_of,
+    incarnation_of,
 )
 from bendlead_gateway._health.preference import preferred
 from bendlead_gateway._health.trial import TrialSchedule, Trier, rank
@@ -169,7 +169,7 @@
             _JUDGES[replay.way],
         )
         self.verdicts.list_halls = lambda: replay.halls
-        self.trying: dict[EngineLife, float] = {}
+        self.trying: dict[EngineIncarnation, float] = {}
 
 
 class HealthReplay:
@@ -196,7 +196,7 @@
         self._count = 0
         self._running: Counter[EngineId] = Counter()
         self._known: Counter[EngineId] = Counter()
-        self._tries: Counter[EngineLife] = Counter()
+        self._tries: Counter[EngineIncarnation] = Counter()
         self._bad = frozenset(
             one.engine for one in self.engines[: load.failing]
         )
@@ -264,7 +264,7 @@
         if self.way is Way.ALONE:
             paused = entry.health.paused(engine.engine)
             return EngineView(engine, online, near=near, paused=paused)
-        found = entry.verdicts.finding(life_of(engine), self._now)
+        found = entry.verdicts.finding(incarnation_of(engine), self._now)
         return EngineView(
             engine,
             online + found.failed_at_once,
@@ -277,7 +277,7 @@
         self, process: _Process, views: list[EngineView]
     ) -> EngineView | None:
         for view in views:
-            life = life_of(view.engine)
+            life = incarnation_of(view.engine)
             found = process.verdicts.finding(life, self._now)
             since = process.trying.get(life, -_TRIAL_SECONDS)
             if found.standing is not Standing.ON_TRIAL:
@@ -293,7 +293,7 @@
         return None
 
     def _has_turn(
-        self, process: _Process, life: EngineLife, waited: float
+        self, process: _Process, life: EngineIncarnation, waited: float
     ) -> bool:
         if self.load.by_lot:
             return self._chance.random() * len(self._triers) < 1
@@ -388,7 +388,7 @@
             else:
                 process.health.succeeded(name)
             return
-        life = life_of(engine)
+        life = incarnation_of(engine)
         if process.trying.pop(life, None) is not None:
             self._tries[life] -= 1
         evidence = process.evidence
@@ -404,7 +404,7 @@
         if evidence.arrived > before:
             self._tell(process, life)
 
-    def _tell(self, process: _Process, life: EngineLife) -> None:
+    def _tell(self, process: _Process, life: EngineIncarnation) -> None:
         said = process.evidence.cases[life][process.node]
         for other in (*self._entries, self._owner):
             if other is process or not self._hears(process, other):
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -9,10 +9,10 @@
 from bendlead_gateway._health.evidence import EvidenceTable
 from bendlead_gateway._health.health_state import Standing
 from bendlead_gateway._health.observation import (
-    EngineLife,
+    EngineIncarnation,
     FailureKind,
-    Testimony,
-    life_of,
+    Observation,
+    incarnation_of,
 )
 from bendlead_gateway._health.preference import preferred
 from bendlead_gateway._health.trial import TURN_SECONDS, TrialSchedule, Trier
@@ -61,7 +61,7 @@
     witness, failures, *, answers=0.0, good=0, ago=0.1, kind=FailureKind.ERROR
 ):
     at = _NOW - ago
-    return Testimony(
+    return Observation(
         NodeName(witness),
         at,
         1,
@@ -79,7 +79,7 @@
         """Give the standing of each engine, seen from the north."""
         listed = _engines(engines)
         cases = {
-            life_of(listed[at]): {one.witness: one for one in found}
+            incarnation_of(listed[at]): {one.witness: one for one in found}
             for at, found in said.items()
         }
         seat = Seat(NodeName('own'), DataHall('north'))
@@ -91,9 +91,9 @@
         }
         service = ServiceEngines.of(listed)
         judge = Judge(seat, service, cases, halls, _NOW)
-        lives = [life_of(listed[at]) for at in apart]
+        lives = [incarnation_of(listed[at]) for at in apart]
         found = judge.findings(lives)
-        return {at: found[life_of(listed[at])].standing for at in said}
+        return {at: found[incarnation_of(listed[at])].standing for at in said}
 
     @parameterized.expand(
         [
@@ -184,7 +184,7 @@
     """What is counted, and what of it is told."""
 
     def setUp(self):
-        self.life = EngineLife(EngineId('i-0'), 1)
+        self.life = EngineIncarnation(EngineId('i-0'), 1)
         self.table = EvidenceTable(NodeName('own'))
 
     def fail(self, now):
@@ -210,7 +210,7 @@
         self.answer(10.1, 10.2)
         self.answer(10.1, 10.3)
         self.assertEqual(2, self.mine.good)
-        told = Testimony(
+        told = Observation(
             NodeName('other'), 10.4, 7, {FailureKind.BROKEN: 1}, failed_at=10.4
         )
         self.assertTrue(self.table.take(self.life, told))
@@ -219,7 +219,7 @@
 
     def test_the_newest_of_a_witness_wins_and_passes_on_once(self):
         newer, older = (
-            Testimony(NodeName('other'), 9, version, {FailureKind.ERROR: 1})
+            Observation(NodeName('other'), 9, version, {FailureKind.ERROR: 1})
             for version in (3, 2)
         )
         self.assertTrue(self.table.take(self.life, newer))
@@ -236,7 +236,7 @@
 
     def test_it_is_bounded_and_fades(self):
         for at in range(5000):
-            life = EngineLife(EngineId('i'), at)
+            life = EngineIncarnation(EngineId('i'), at)
             self.table.failed(life, FailureKind.ERROR, 10, 10)
         self.assertEqual(4096, len(self.table.cases))
         self.table.expire(30)
@@ -247,7 +247,7 @@
     """One process at a time tries an engine."""
 
     def test_all_name_the_same_and_the_turn_passes_on(self):
-        life = EngineLife(EngineId('i-0'), 1)
+        life = EngineIncarnation(EngineId('i-0'), 1)
         triers = [Trier(NodeName(f'n-{at}')) for at in range(19)]
         turns = [
             TrialSchedule(lambda: triers).holder(
@@ -263,13 +263,13 @@
         triers = [Trier(NodeName(f'n-{at}')) for at in range(19)]
         triers.append(Trier(NodeName('owner'), items=True))
         for at in range(20):
-            life = EngineLife(EngineId('i'), at)
+            life = EngineIncarnation(EngineId('i'), at)
             self.assertEqual(
                 'owner', TrialSchedule(lambda: triers).holder(life, 0, 0)
             )
 
     def test_nobody_there(self):
-        life = EngineLife(EngineId('i'), 1)
+        life = EngineIncarnation(EngineId('i'), 1)
         self.assertIsNone(TrialSchedule(list).holder(life, 0, 0))
 
 
