--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -7,7 +7,7 @@
 from bendlead_gateway._fleet.health import EngineHealth
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.pace import PaceTable
-from bendlead_gateway._health.health_state import Finding, Standing
+from bendlead_gateway._health.health_state import HealthAssessment, HealthState
 from bendlead_gateway._health.preference import preferred
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._scheduling.placement import (
@@ -25,7 +25,7 @@
     ServiceShare,
 )
 
-_NOTHING_FOUND = Finding()
+_NOTHING_FOUND = HealthAssessment()
 
 
 class Balancer:
@@ -84,7 +84,7 @@
             silent=self._health.silent(name, busy_since),
             warming=self._engines.warming(engine),
             paused=paused,
-            doubted=found.standing is Standing.DOUBTED,
+            doubted=found.standing is HealthState.DOUBTED,
         )
 
     def choose(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._fleet.pool import EnginePool
 from bendlead_gateway._fleet.refusals import Refusals
 from bendlead_gateway._fleet.watcher import Follower, Watcher
-from bendlead_gateway._health.evaluator import Seat
+from bendlead_gateway._health.evaluator import LocalNode
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
@@ -36,7 +36,7 @@
         dialect: Dialect,
         log: Log,
         metrics: Metrics,
-        seat: Seat,
+        local_node: LocalNode,
     ) -> None:
         self._store = store
         self._log = log
@@ -49,7 +49,9 @@
         self.pool = EnginePool()
         self.configuration = ConfigurationHolder(dialect, log)
         self.engines = EngineList(dialect, log, self._forget)
-        self.shared_health = SharedHealth(seat, self.engines.all, log, metrics)
+        self.shared_health = SharedHealth(
+            local_node, self.engines.all, log, metrics
+        )
         self.suspects = Suspects(
             self.engines.takes_requests,
             self.health.heard_at,
@@ -63,7 +65,7 @@
             self.loads,
             self.health,
             self.pace,
-            seat.hall,
+            local_node.hall,
             self.shared_health,
         )
         prefix = dialect.config_key.partition('/')[0]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from bendlead_gateway._health.health_state import Finding, Standing
+from bendlead_gateway._health.health_state import HealthAssessment, HealthState
 from bendlead_gateway._health.observation import (
     MAX_FAILURES,
     DecayedObservation,
@@ -67,7 +67,7 @@
 _LAST_PAUSE = 4.0
 
 
-class Seat(Struct, frozen=True):
+class LocalNode(Struct, frozen=True):
     """Say whose decision it is, and in which hall."""
 
     node: NodeName
@@ -91,12 +91,12 @@
 Case = Mapping[NodeName, Observation]
 
 
-class Judge:
+class HealthEvaluator:
     """Weigh testimonies on the engines of one service at one moment."""
 
     def __init__(
         self,
-        seat: Seat,
+        seat: LocalNode,
         engines: ServiceEngines,
         cases: Mapping[EngineIncarnation, Case],
         halls: Mapping[NodeName, DataHall],
@@ -118,7 +118,7 @@
 
     def findings(
         self, apart: Collection[EngineIncarnation]
-    ) -> dict[EngineIncarnation, Finding]:
+    ) -> dict[EngineIncarnation, HealthAssessment]:
         """Judge each life with a case; some were set apart until now."""
         found = {life: self._weigh(life) for life in self._cases}
         bad = [
@@ -165,7 +165,7 @@
             distrusted.update((witness, incarnation_of(one)) for one in cut)
         return distrusted
 
-    def _weigh(self, life: EngineIncarnation) -> Finding:
+    def _weigh(self, life: EngineIncarnation) -> HealthAssessment:
         """Add up what counts of a case."""
         failures = 0.0
         answers = 0.0
@@ -180,7 +180,7 @@
         failed_at = max((one.failed_at for one in said), default=-math.inf)
         needed = max(_LEAST_GOOD, round(failures * _GOOD_PER_FAILURE))
         good = [one for one in said if one.good and one.at > failed_at]
-        return Finding(
+        return HealthAssessment(
             score=failures * _FAILURE_SCORE + answers * _ANSWER_SCORE,
             failures=failures,
             answers=answers,
@@ -225,13 +225,13 @@
         return [one for one in failing if one.hall in cut]
 
 
-def _stand(one: Finding, bad: bool, now: float) -> Finding:
-    standing = Standing.TRUSTED
+def _stand(one: HealthAssessment, bad: bool, now: float) -> HealthAssessment:
+    standing = HealthState.TRUSTED
     if bad:
         due = now >= one.try_at
-        standing = Standing.ON_TRIAL if due else Standing.LEFT_ALONE
+        standing = HealthState.ON_TRIAL if due else HealthState.EJECTED
     elif not one.cleared and one.score >= _DOUBT_SCORE:
-        standing = Standing.DOUBTED
+        standing = HealthState.DOUBTED
     return replace(one, standing=standing)
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/health_state.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/health_state.py
@@ -5,7 +5,7 @@
 from msgspec import Struct
 
 
-class Standing(enum.Enum):
+class HealthState(enum.Enum):
     """Say what an engine is given."""
 
     #: Whatever is to be served.
@@ -15,13 +15,13 @@
     #: One request at a time.
     ON_TRIAL = 'on-trial'
     #: Nothing for now.
-    LEFT_ALONE = 'left-alone'
+    EJECTED = 'left-alone'
 
 
-class Finding(Struct, frozen=True):
+class HealthAssessment(Struct, frozen=True):
     """Say how an engine stands, and by what."""
 
-    standing: Standing = Standing.TRUSTED
+    standing: HealthState = HealthState.TRUSTED
     score: float = 0
     failures: float = 0
     answers: float = 0
@@ -42,11 +42,11 @@
 
         They count as running there, or it would draw more of them.
         """
-        if self.standing is not Standing.DOUBTED:
+        if self.standing is not HealthState.DOUBTED:
             return 0
         return round(self.failures)
 
     @property
     def out_of_rotation(self) -> bool:
         """Tell whether the engine takes no part in placement."""
-        return self.standing in {Standing.ON_TRIAL, Standing.LEFT_ALONE}
+        return self.standing in {HealthState.ON_TRIAL, HealthState.EJECTED}
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
@@ -2,9 +2,13 @@
 
 from collections.abc import Callable, Mapping, Sequence
 
-from bendlead_gateway._health.evaluator import Judge, Seat, ServiceEngines
+from bendlead_gateway._health.evaluator import (
+    HealthEvaluator,
+    LocalNode,
+    ServiceEngines,
+)
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.health_state import Finding, Standing
+from bendlead_gateway._health.health_state import HealthAssessment, HealthState
 from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import DataHall, Engine, NodeName, ServiceName
@@ -14,7 +18,7 @@
 _LOOK_SECONDS = 0.05
 #: What has faded is dropped, and engines are sorted anew, this often (s).
 _EXPIRE_SECONDS = 1.0
-_FINE = Finding()
+_FINE = HealthAssessment()
 _DIGITS = 2
 
 #: Lists the engines that service discovery tells of.
@@ -23,30 +27,30 @@
 ListHalls = Callable[[], Mapping[NodeName, DataHall]]
 
 
-class Verdicts:
+class HealthMonitor:
     """Judge anew where evidence or time calls for it, and log each change."""
 
     def __init__(
         self,
-        seat: Seat,
+        seat: LocalNode,
         evidence: EvidenceTable,
         list_engines: ListEngines,
         log: Log,
-        judge: type[Judge] = Judge,
+        judge: type[HealthEvaluator] = HealthEvaluator,
     ) -> None:
         self._seat = seat
         self._evidence = evidence
         self._list_engines = list_engines
         self._log = log
         self._judge = judge
-        self._found: dict[EngineIncarnation, Finding] = {}
+        self._found: dict[EngineIncarnation, HealthAssessment] = {}
         self._looked_at = 0.0
         self._expired_at = 0.0
         self._stale = False
         self._services: Sequence[ServiceEngines] = ()
         self.list_halls: ListHalls = dict
 
-    def finding(self, life: EngineIncarnation, now: float) -> Finding:
+    def finding(self, life: EngineIncarnation, now: float) -> HealthAssessment:
         """Give how an engine stands."""
         if not self._evidence.cases and not self._found:
             return _FINE
@@ -54,11 +58,11 @@
             self._look(now)
         return self._found.get(life, _FINE)
 
-    def look_again(self) -> None:
+    def invalidate(self) -> None:
         """Weigh anew at the next question: something failed here."""
         self._stale = True
 
-    def all(self, now: float) -> Mapping[EngineIncarnation, Finding]:
+    def all(self, now: float) -> Mapping[EngineIncarnation, HealthAssessment]:
         """Give how each engine under suspicion stands."""
         self._look(now)
         return self._found
@@ -70,7 +74,7 @@
             self._expired_at = now
             self._evidence.expire(now)
             self._services = self._sort_engines()
-        found: dict[EngineIncarnation, Finding] = {}
+        found: dict[EngineIncarnation, HealthAssessment] = {}
         for engines in self._touched():
             judge = self._judge(
                 self._seat,
@@ -110,7 +114,10 @@
         return [ServiceEngines.of(engines) for engines in by_service.values()]
 
     def _note(
-        self, life: EngineIncarnation, before: Finding, found: Finding | None
+        self,
+        life: EngineIncarnation,
+        before: HealthAssessment,
+        found: HealthAssessment | None,
     ) -> None:
         after = found or _FINE
         if _shown(after.standing) == _shown(before.standing):
@@ -129,8 +136,8 @@
         )
 
 
-def _shown(standing: Standing) -> str:
+def _shown(standing: HealthState) -> str:
     """Take a pause and the trials between pauses for one standing."""
-    if standing is Standing.LEFT_ALONE:
-        return Standing.ON_TRIAL.value
+    if standing is HealthState.EJECTED:
+        return HealthState.ON_TRIAL.value
     return standing.value
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -8,11 +8,15 @@
 from result import Err
 
 from bendlead_gateway._health import codec
-from bendlead_gateway._health.evaluator import Seat
+from bendlead_gateway._health.evaluator import LocalNode
 from bendlead_gateway._health.evidence import EvidenceTable
 from bendlead_gateway._health.failed_requests import FailedRequests
-from bendlead_gateway._health.health_state import Finding, Standing
-from bendlead_gateway._health.monitor import ListEngines, ListHalls, Verdicts
+from bendlead_gateway._health.health_state import HealthAssessment, HealthState
+from bendlead_gateway._health.monitor import (
+    HealthMonitor,
+    ListEngines,
+    ListHalls,
+)
 from bendlead_gateway._health.observation import (
     EngineIncarnation,
     FailureKind,
@@ -36,7 +40,7 @@
 
     def __init__(
         self,
-        seat: Seat,
+        seat: LocalNode,
         list_engines: ListEngines,
         log: Log,
         metrics: Metrics,
@@ -46,7 +50,7 @@
         self._metrics = metrics
         self._list_engines = list_engines
         self._evidence = EvidenceTable(seat.node)
-        self.verdicts = Verdicts(seat, self._evidence, list_engines, log)
+        self.monitor = HealthMonitor(seat, self._evidence, list_engines, log)
         self._requests = FailedRequests()
         self._trials: dict[EngineIncarnation, float] = {}
         self._turns = TrialSchedule(self._alone)
@@ -54,7 +58,7 @@
     def meet(self, list_triers: ListTriers, list_halls: ListHalls) -> None:
         """Ask here which other processes there are."""
         self._turns = TrialSchedule(list_triers)
-        self.verdicts.list_halls = list_halls
+        self.monitor.list_halls = list_halls
 
     @property
     def any_suspected(self) -> bool:
@@ -66,9 +70,9 @@
         """Count the news so far; what is told rests while this does."""
         return self._evidence.arrived
 
-    def finding(self, engine: Engine) -> Finding:
+    def finding(self, engine: Engine) -> HealthAssessment:
         """Tell how an engine stands."""
-        return self.verdicts.finding(incarnation_of(engine), clock.uptime())
+        return self.monitor.finding(incarnation_of(engine), clock.uptime())
 
     def failed(
         self,
@@ -87,7 +91,7 @@
             )
             return
         self._evidence.failed(life, kind, clock.uptime(), time.time())
-        self.verdicts.look_again()
+        self.monitor.invalidate()
         self._metrics.load.engine_evidence[kind.value] += 1
 
     def answered(
@@ -154,7 +158,7 @@
     def summary(self) -> dict[str, object]:
         """Show standings with their evidence, for the state dump."""
         now = clock.uptime()
-        found = self.verdicts.all(now)
+        found = self.monitor.all(now)
         return {
             life.engine: {
                 'born': life.born,
@@ -176,7 +180,7 @@
         """Tell whether a trial is due, and this process has the turn."""
         now = clock.uptime()
         found = self.finding(view.engine)
-        if found.standing is not Standing.ON_TRIAL:
+        if found.standing is not HealthState.ON_TRIAL:
             return False
         life = incarnation_of(view.engine)
         if now - self._trials.get(life, -_TRIAL_SECONDS) < _TRIAL_SECONDS:
@@ -184,7 +188,7 @@
         return self._holder(life, found, now) == self._seat.node
 
     def _holder(
-        self, life: EngineIncarnation, found: Finding, now: float
+        self, life: EngineIncarnation, found: HealthAssessment, now: float
     ) -> str | None:
         if not found.out_of_rotation:
             return None
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -14,10 +14,10 @@
 from unittest import mock
 
 from bendlead_gateway._fleet import health
-from bendlead_gateway._health.evaluator import Judge, Seat
+from bendlead_gateway._health.evaluator import HealthEvaluator, LocalNode
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.health_state import Standing
-from bendlead_gateway._health.monitor import Verdicts
+from bendlead_gateway._health.health_state import HealthState
+from bendlead_gateway._health.monitor import HealthMonitor
 from bendlead_gateway._health.observation import (
     EngineIncarnation,
     FailureKind,
@@ -107,7 +107,7 @@
     trials_at_once: int = 0
 
 
-class _Counting(Judge):
+class _Counting(HealthEvaluator):
     """Take what anybody says for as much as what was seen here."""
 
     def weight(self, _one):
@@ -134,9 +134,9 @@
 
 
 _JUDGES = {
-    Way.ALONE: Judge,
+    Way.ALONE: HealthEvaluator,
     Way.COUNTS: _Counting,
-    Way.WITNESSES: Judge,
+    Way.WITNESSES: HealthEvaluator,
     Way.PROBER: _Probed,
 }
 
@@ -161,14 +161,14 @@
         self.hall = DataHall(f'hall-{number % _HALLS}')
         self.evidence = EvidenceTable(self.node)
         self.health = health.EngineHealth()
-        self.verdicts = Verdicts(
-            Seat(self.node, self.hall),
+        self.monitor = HealthMonitor(
+            LocalNode(self.node, self.hall),
             self.evidence,
             lambda: replay.engines,
             SimpleNamespace(event=lambda *_kind, **_fields: None),
             _JUDGES[replay.way],
         )
-        self.verdicts.list_halls = lambda: replay.halls
+        self.monitor.list_halls = lambda: replay.halls
         self.trying: dict[EngineIncarnation, float] = {}
 
 
@@ -264,13 +264,13 @@
         if self.way is Way.ALONE:
             paused = entry.health.paused(engine.engine)
             return EngineView(engine, online, near=near, paused=paused)
-        found = entry.verdicts.finding(incarnation_of(engine), self._now)
+        found = entry.monitor.finding(incarnation_of(engine), self._now)
         return EngineView(
             engine,
             online + found.failed_at_once,
             near=near,
             paused=found.out_of_rotation,
-            doubted=found.standing is Standing.DOUBTED,
+            doubted=found.standing is HealthState.DOUBTED,
         )
 
     def _take_trial(
@@ -278,9 +278,9 @@
     ) -> EngineView | None:
         for view in views:
             life = incarnation_of(view.engine)
-            found = process.verdicts.finding(life, self._now)
+            found = process.monitor.finding(life, self._now)
             since = process.trying.get(life, -_TRIAL_SECONDS)
-            if found.standing is not Standing.ON_TRIAL:
+            if found.standing is not HealthState.ON_TRIAL:
                 continue
             if self._now - since < _TRIAL_SECONDS:
                 continue
@@ -395,9 +395,9 @@
         before = evidence.arrived
         if failed:
             evidence.failed(life, FailureKind.ERROR, self._now, self._now)
-            process.verdicts.look_again()
+            process.monitor.invalidate()
         elif life in evidence.cases:
-            cleared = process.verdicts.finding(life, self._now).cleared
+            cleared = process.monitor.finding(life, self._now).cleared
             evidence.answered(
                 life, began, self._now, self._now, cleared=cleared
             )
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -5,9 +5,13 @@
 from uuid import uuid4
 
 import gevent
-from bendlead_gateway._health.evaluator import Judge, Seat, ServiceEngines
+from bendlead_gateway._health.evaluator import (
+    HealthEvaluator,
+    LocalNode,
+    ServiceEngines,
+)
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.health_state import Standing
+from bendlead_gateway._health.health_state import HealthState
 from bendlead_gateway._health.observation import (
     EngineIncarnation,
     FailureKind,
@@ -82,7 +86,7 @@
             incarnation_of(listed[at]): {one.witness: one for one in found}
             for at, found in said.items()
         }
-        seat = Seat(NodeName('own'), DataHall('north'))
+        seat = LocalNode(NodeName('own'), DataHall('north'))
         halls = {
             NodeName('own'): DataHall('north'),
             NodeName('n-1'): DataHall('north'),
@@ -90,52 +94,52 @@
             NodeName('s-2'): DataHall('south'),
         }
         service = ServiceEngines.of(listed)
-        judge = Judge(seat, service, cases, halls, _NOW)
+        judge = HealthEvaluator(seat, service, cases, halls, _NOW)
         lives = [incarnation_of(listed[at]) for at in apart]
         found = judge.findings(lives)
         return {at: found[incarnation_of(listed[at])].standing for at in said}
 
     @parameterized.expand(
         [
-            ('one_failure', [_said('own', 1)], Standing.DOUBTED),
-            ('two_here', [_said('own', 2)], Standing.LEFT_ALONE),
+            ('one_failure', [_said('own', 1)], HealthState.DOUBTED),
+            ('two_here', [_said('own', 2)], HealthState.EJECTED),
             (
                 'two_slow_ones',
                 [_said('own', 2, kind=FailureKind.SLOW)],
-                Standing.DOUBTED,
+                HealthState.DOUBTED,
             ),
             (
                 'one_refused',
                 [_said('own', 1, kind=FailureKind.REFUSED)],
-                Standing.LEFT_ALONE,
+                HealthState.EJECTED,
             ),
             (
                 'two_witnesses',
                 [_said('n-1', 1), _said('s-1', 1)],
-                Standing.LEFT_ALONE,
+                HealthState.EJECTED,
             ),
             (
                 'one_hall_alone',
                 [_said('s-1', 1), _said('s-2', 1)],
-                Standing.DOUBTED,
+                HealthState.DOUBTED,
             ),
-            ('one_peer_alone', [_said('n-1', 50)], Standing.DOUBTED),
-            ('pause_over', [_said('own', 2.2, ago=0.6)], Standing.ON_TRIAL),
-            ('long_ago', [_said('own', 2, ago=20)], Standing.TRUSTED),
+            ('one_peer_alone', [_said('n-1', 50)], HealthState.DOUBTED),
+            ('pause_over', [_said('own', 2.2, ago=0.6)], HealthState.ON_TRIAL),
+            ('long_ago', [_said('own', 2, ago=20)], HealthState.TRUSTED),
             (
                 'one_in_twenty',
                 [_said('own', 2, answers=40)],
-                Standing.TRUSTED,
+                HealthState.TRUSTED,
             ),
             (
                 'a_third_fails',
                 [_said('own', 3, answers=6)],
-                Standing.LEFT_ALONE,
+                HealthState.EJECTED,
             ),
             (
                 'several_good_answers',
                 [_said('own', 2, ago=1), _said('n-1', 0, answers=6, good=6)],
-                Standing.TRUSTED,
+                HealthState.TRUSTED,
             ),
             (
                 'answers_before_the_failure',
@@ -143,7 +147,7 @@
                     _said('own', 2),
                     _said('n-1', 0, answers=6, good=6, ago=0.5),
                 ],
-                Standing.DOUBTED,
+                HealthState.DOUBTED,
             ),
         ]
     )
@@ -155,29 +159,29 @@
             at: [_said('n-1', 5), _said('s-1', 0, answers=1)]
             for at in range(10)
         }
-        self.assertEqual({Standing.TRUSTED}, set(self.judge(said).values()))
+        self.assertEqual({HealthState.TRUSTED}, set(self.judge(said).values()))
 
     def test_a_cut_between_halls_sways_no_other_hall(self):
         north = range(0, 20, 2)
         said = {at: [_said('s-1', 3), _said('s-2', 3)] for at in north}
         said = {at: found for at, found in said.items() if at < 12}
-        self.assertEqual({Standing.TRUSTED}, set(self.judge(said).values()))
+        self.assertEqual({HealthState.TRUSTED}, set(self.judge(said).values()))
 
     def test_lying_peers_leave_few_engines_alone(self):
         """One alone none; it raises doubts, which cost no engine its work."""
         said = {at: [_said('n-1', 1000)] for at in range(6)}
-        self.assertEqual({Standing.DOUBTED}, set(self.judge(said).values()))
+        self.assertEqual({HealthState.DOUBTED}, set(self.judge(said).values()))
 
     def test_a_bounded_share_is_left_alone_the_worst_first(self):
         said = {at: [_said('own', 2 + at / 10)] for at in range(20)}
         found = self.judge(said)
-        alone = [at for at, one in found.items() if one is Standing.LEFT_ALONE]
+        alone = [at for at, one in found.items() if one is HealthState.EJECTED]
         self.assertEqual(list(range(12, 20)), alone)
 
     def test_who_was_set_apart_returns_later_than_it_left(self):
         said = {0: [_said('own', 2, ago=4)]}
-        self.assertEqual(Standing.DOUBTED, self.judge(said)[0])
-        self.assertEqual(Standing.ON_TRIAL, self.judge(said, apart=[0])[0])
+        self.assertEqual(HealthState.DOUBTED, self.judge(said)[0])
+        self.assertEqual(HealthState.ON_TRIAL, self.judge(said, apart=[0])[0])
 
 
 class EvidenceTest(unittest.TestCase):
--- a/tests/test_gateway_evidence.py
+++ b/tests/test_gateway_evidence.py
@@ -9,8 +9,8 @@
 import msgspec
 from bendlead_gateway._entry import EntryNode
 from bendlead_gateway._health import shared as shared_module
-from bendlead_gateway._health.evaluator import Seat
-from bendlead_gateway._health.health_state import Standing
+from bendlead_gateway._health.evaluator import LocalNode
+from bendlead_gateway._health.health_state import HealthState
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._health.trial import Trier
@@ -91,7 +91,7 @@
     def process(self, name, hall='north'):
         """Make a process that knows the halls of three."""
         made = SharedHealth(
-            Seat(NodeName(name), DataHall(hall)),
+            LocalNode(NodeName(name), DataHall(hall)),
             lambda: self.engines,
             self.log,
             Metrics(),
@@ -125,7 +125,7 @@
             between.hear(process.news(0)[1])
         after, told = between.news(0)
         far.hear(told)
-        self.assertEqual(Standing.LEFT_ALONE, self.standing(far, 0))
+        self.assertEqual(HealthState.EJECTED, self.standing(far, 0))
         self.assertEqual([], between.news(after)[1])
 
     def test_what_comes_back_is_told_no_more(self):
@@ -149,7 +149,7 @@
         old = self.engines[0]
         self.engines[0] = self.engine('i-0', born=2)
         one.forget(old)
-        self.assertEqual(Standing.TRUSTED, self.standing(one, 0))
+        self.assertEqual(HealthState.TRUSTED, self.standing(one, 0))
         self.assertEqual({}, one.summary())
 
     @parameterized.expand(
@@ -194,7 +194,7 @@
         one = self.process('n-0')
         said = {**_GOOD, 'witness': 'n-0', 'failures': {'error': 9.0}}
         one.hear([EngineEvidence(**said)])
-        self.assertEqual(Standing.TRUSTED, self.standing(one, 0))
+        self.assertEqual(HealthState.TRUSTED, self.standing(one, 0))
 
 
 class AgeTest(SharingCase):
@@ -206,16 +206,16 @@
         self.lose(one, 0, times=2)
         self.lose(two, 0)
         deaf.hear([*one.news(0)[1], *two.news(0)[1]])
-        self.assertEqual(Standing.LEFT_ALONE, self.standing(deaf, 0))
+        self.assertEqual(HealthState.EJECTED, self.standing(deaf, 0))
         for _second in range(8):
             self.now += 1
             self.standing(deaf, 0)
-        self.assertNotEqual(Standing.LEFT_ALONE, self.standing(deaf, 0))
+        self.assertNotEqual(HealthState.EJECTED, self.standing(deaf, 0))
         self.lose(deaf, 1, times=2)
-        self.assertEqual(Standing.LEFT_ALONE, self.standing(deaf, 1))
+        self.assertEqual(HealthState.EJECTED, self.standing(deaf, 1))
         self.now += 30
         self.assertEqual({}, deaf.summary())
-        self.assertEqual(Standing.TRUSTED, self.standing(deaf, 0))
+        self.assertEqual(HealthState.TRUSTED, self.standing(deaf, 0))
 
     def test_all_restarted_at_once(self):
         """They know nothing, and take what failed before for news."""
@@ -223,13 +223,13 @@
         self.lose(one, 0, times=2)
         told = one.news(0)[1]
         restarted = self.process('n-0')
-        self.assertEqual(Standing.TRUSTED, self.standing(restarted, 0))
+        self.assertEqual(HealthState.TRUSTED, self.standing(restarted, 0))
         self.assertEqual((0, []), restarted.news(0))
         other = self.process('n-1')
         other.hear(told)
         self.lose(restarted, 0, times=1)
         other.hear(restarted.news(0)[1])
-        self.assertEqual(Standing.DOUBTED, self.standing(other, 0))
+        self.assertEqual(HealthState.DOUBTED, self.standing(other, 0))
 
     def test_a_hall_that_is_cut_off(self):
         """Its processes leave engines beyond the cut; others go on."""
@@ -246,10 +246,10 @@
         for process in (south, cut):
             north.hear(process.news(0)[1])
         found = {self.standing(north, at) for at in range(10)}
-        self.assertEqual({Standing.TRUSTED}, found)
+        self.assertEqual({HealthState.TRUSTED}, found)
         found = [self.standing(south, at) for at in range(10)]
         # Never all: whom should a request go to.
-        self.assertEqual(4, found.count(Standing.LEFT_ALONE))
+        self.assertEqual(4, found.count(HealthState.EJECTED))
 
 
 class ReplayTest(unittest.TestCase):
