--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
@@ -6,7 +6,7 @@
 
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peer import Peer
-from bendlead_gateway._health.trial import Trier
+from bendlead_gateway._health.trial import TrialNode
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
 
 
@@ -20,19 +20,19 @@
         self._loads = loads
         self._peers = peers
 
-    def triers(self) -> list[Trier]:
+    def triers(self) -> list[TrialNode]:
         """List those heard of lately that have requests or items to send.
 
         This process is asked where it has some, though none may run yet.
         """
         owner = self._own.role is NodeRole.OWNER
-        found = [Trier(self._own.node, items=owner)]
+        found = [TrialNode(self._own.node, items=owner)]
         for node, peer in self._peers.items():
             known = self._loads.latest(node)
             if known is not None:
                 items = any(known.batch.values())
                 if items or peer.record.role is NodeRole.ENTRY:
-                    found.append(Trier(node, items))
+                    found.append(TrialNode(node, items))
         return found
 
     def reaching_store(self) -> list[PeerRecord]:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
@@ -19,7 +19,7 @@
 )
 
 
-def kind_of(error: OSError) -> FailureKind | None:
+def classify_error(error: OSError) -> FailureKind | None:
     """Name the kind of an engine's failure, if the failure is the engine's."""
     if error.errno in _OWN_TROUBLE:
         return None
@@ -30,7 +30,7 @@
     return FailureKind.BROKEN
 
 
-def kind_of_answer(status: int) -> FailureKind | None:
+def classify_status(status: int) -> FailureKind | None:
     """Name the kind of failure that an engine's own answer is, if it is one.
 
     At its deadline a request ends with 504 on an engine that is full, and what
@@ -43,7 +43,7 @@
     return FailureKind.ERROR
 
 
-def kind_without_answer(error: OSError, *, replaced: bool) -> FailureKind:
+def classify_missing_response(error: OSError, *, replaced: bool) -> FailureKind:
     """Name the kind of failure of an engine that gave no answer.
 
     One that is replaced may only have been slow to begin.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -22,7 +22,11 @@
     FailureKind,
     incarnation_of,
 )
-from bendlead_gateway._health.trial import ListTriers, TrialSchedule, Trier
+from bendlead_gateway._health.trial import (
+    ListTrialNodes,
+    TrialNode,
+    TrialSchedule,
+)
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.view import EngineView
@@ -55,7 +59,7 @@
         self._trials: dict[EngineIncarnation, float] = {}
         self._turns = TrialSchedule(self._alone)
 
-    def meet(self, list_triers: ListTriers, list_halls: ListHalls) -> None:
+    def meet(self, list_triers: ListTrialNodes, list_halls: ListHalls) -> None:
         """Ask here which other processes there are."""
         self._turns = TrialSchedule(list_triers)
         self.monitor.list_halls = list_halls
@@ -194,8 +198,8 @@
             return None
         return self._turns.holder(life, now - found.try_at, now)
 
-    def _alone(self) -> Sequence[Trier]:
-        return (Trier(self._seat.node),)
+    def _alone(self) -> Sequence[TrialNode]:
+        return (TrialNode(self._seat.node),)
 
     def _pass_over(self, told: EngineEvidence, reason: str) -> None:
         self._log.event(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
@@ -25,7 +25,7 @@
 _DIGEST_BYTES = 8
 
 
-class Trier(Struct, frozen=True):
+class TrialNode(Struct, frozen=True):
     """Say which process could try engines, and whether it has items to run."""
 
     node: NodeName
@@ -33,16 +33,16 @@
 
 
 #: Lists the processes heard, this one too, that could try an engine.
-ListTriers = Callable[[], Sequence[Trier]]
+ListTrialNodes = Callable[[], Sequence[TrialNode]]
 
 
 class TrialSchedule:
     """Remember the ranks of a moment; steady seconds come in."""
 
-    def __init__(self, list_triers: ListTriers) -> None:
+    def __init__(self, list_triers: ListTrialNodes) -> None:
         self._list_triers = list_triers
-        self._triers: Sequence[Trier] = ()
-        self._ranked: dict[EngineIncarnation, Sequence[Trier]] = {}
+        self._triers: Sequence[TrialNode] = ()
+        self._ranked: dict[EngineIncarnation, Sequence[TrialNode]] = {}
         self._looked_at = -_LOOK_SECONDS
 
     def holder(
@@ -62,12 +62,14 @@
         return ranked[turn % len(ranked)].node
 
 
-def rank(life: EngineIncarnation, triers: Sequence[Trier]) -> Sequence[Trier]:
+def rank(
+    life: EngineIncarnation, triers: Sequence[TrialNode]
+) -> Sequence[TrialNode]:
     """Rank processes for one life, all alike."""
     return sorted(triers, key=lambda one: _rank(life, one))
 
 
-def _rank(life: EngineIncarnation, one: Trier) -> tuple[bool, bytes]:
+def _rank(life: EngineIncarnation, one: TrialNode) -> tuple[bool, bytes]:
     named = f'{life.engine}/{life.born}/{one.node}'
     return not one.items, blake2b(
         named.encode(), digest_size=_DIGEST_BYTES
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -8,7 +8,10 @@
 
 from bendlead_gateway._fleet.balancer import pick_service
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._health.failure_kinds import kind_of, kind_of_answer
+from bendlead_gateway._health.failure_kinds import (
+    classify_error,
+    classify_status,
+)
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
 from bendlead_gateway._jobs.board import Board
@@ -238,9 +241,9 @@
         cause = error if isinstance(error, OSError) else error.__cause__
         kind: FailureKind | None = FailureKind.ERROR
         if isinstance(cause, OSError):
-            kind = kind_of(cause)
+            kind = classify_error(cause)
         elif isinstance(error, RunFailedError) and error.status:
-            kind = kind_of_answer(error.status)
+            kind = classify_status(error.status)
         digest = run.digest if run.sent_at else None
         self._fleet.shared_health.failed(run.engine, kind, digest)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -7,9 +7,9 @@
 
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._health.failure_kinds import (
-    kind_of,
-    kind_of_answer,
-    kind_without_answer,
+    classify_error,
+    classify_missing_response,
+    classify_status,
 )
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import (
@@ -97,7 +97,7 @@
                 self._fleet.suspects.ends.refused(engine)
             paused = self._health.failed(engine.engine, unreachable=True)
             self._log_failure(engine, Step.CONNECT, error, paused)
-            self._shared.failed(engine, kind_of(error), None)
+            self._shared.failed(engine, classify_error(error), None)
             raise UnreachableError(f'connect: {error}') from error
 
     def _run(
@@ -123,7 +123,7 @@
             self._log_failure(
                 engine, Step.HEAD, f'status {head.status}', paused
             )
-            kind = kind_of_answer(head.status)
+            kind = classify_status(head.status)
             self._shared.failed(engine, kind, exchange.digest)
             if exchange.may_fail_over:
                 connection.keep_no_longer()
@@ -161,7 +161,9 @@
                 engine.engine, unreachable=silent and timeout is None
             )
             self._log_failure(engine, Step.HEAD, error, paused)
-            kind = kind_without_answer(error, replaced=timeout is not None)
+            kind = classify_missing_response(
+                error, replaced=timeout is not None
+            )
             self._shared.failed(engine, kind, exchange.digest)
             self._report_broken(exchange, engine, answered=False)
             raise UnknownOutcomeError(f'no answer: {error}') from error
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -24,7 +24,7 @@
     incarnation_of,
 )
 from bendlead_gateway._health.preference import preferred
-from bendlead_gateway._health.trial import TrialSchedule, Trier, rank
+from bendlead_gateway._health.trial import TrialNode, TrialSchedule, rank
 from bendlead_gateway._scheduling.placement import Traffic, choose
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
@@ -123,7 +123,7 @@
     def credible(self, life):
         own = self._seat
         near = [
-            Trier(node)
+            TrialNode(node)
             for node, hall in self._halls.items()
             if hall == own.hall
         ]
@@ -204,9 +204,9 @@
         self._entries = [_Process(at, self) for at in range(load.entries)]
         everyone = (*self._entries, self._owner)
         self.halls = {one.node: one.hall for one in everyone}
-        self._triers = [Trier(one.node) for one in self._entries]
+        self._triers = [TrialNode(one.node) for one in self._entries]
         if load.items:
-            self._triers.append(Trier(self._owner.node, items=True))
+            self._triers.append(TrialNode(self._owner.node, items=True))
         self._turns = TrialSchedule(lambda: self._triers)
 
     def play(self) -> HealthOutcome:
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -19,7 +19,11 @@
     incarnation_of,
 )
 from bendlead_gateway._health.preference import preferred
-from bendlead_gateway._health.trial import TURN_SECONDS, TrialSchedule, Trier
+from bendlead_gateway._health.trial import (
+    TURN_SECONDS,
+    TrialNode,
+    TrialSchedule,
+)
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -252,7 +256,7 @@
 
     def test_all_name_the_same_and_the_turn_passes_on(self):
         life = EngineIncarnation(EngineId('i-0'), 1)
-        triers = [Trier(NodeName(f'n-{at}')) for at in range(19)]
+        triers = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
         turns = [
             TrialSchedule(lambda: triers).holder(
                 life, TURN_SECONDS * (at + 0.5), 0
@@ -264,8 +268,8 @@
         self.assertEqual(turns[0], other.holder(life, 0, 0))
 
     def test_owners_with_items_come_first(self):
-        triers = [Trier(NodeName(f'n-{at}')) for at in range(19)]
-        triers.append(Trier(NodeName('owner'), items=True))
+        triers = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
+        triers.append(TrialNode(NodeName('owner'), items=True))
         for at in range(20):
             life = EngineIncarnation(EngineId('i'), at)
             self.assertEqual(
--- a/tests/test_gateway_evidence.py
+++ b/tests/test_gateway_evidence.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._health.health_state import HealthState
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._health.shared import SharedHealth
-from bendlead_gateway._health.trial import Trier
+from bendlead_gateway._health.trial import TrialNode
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway.http import HttpConnection
 from bendlead_gateway.types import (
@@ -98,7 +98,7 @@
         )
         halls = {NodeName(f'n-{at}'): DataHall('north') for at in range(4)}
         made.meet(
-            lambda: [Trier(NodeName(f'n-{at}')) for at in range(4)],
+            lambda: [TrialNode(NodeName(f'n-{at}')) for at in range(4)],
             lambda: halls,
         )
         return made
