--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -8,7 +8,7 @@
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.pace import PaceTable
 from bendlead_gateway._health.health_state import HealthAssessment, HealthState
-from bendlead_gateway._health.preference import preferred
+from bendlead_gateway._health.preference import prefer_trusted
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._scheduling.placement import (
     Placement,
@@ -70,11 +70,11 @@
             found = _NOTHING_FOUND
             paused = self._health.paused(name)
         else:
-            found = self._shared.finding(engine)
+            found = self._shared.assess(engine)
             paused = found.out_of_rotation
         return EngineView(
             engine,
-            online=self._loads.online(name) + found.failed_at_once,
+            online=self._loads.online(name) + found.failure_load,
             batch=self._loads.batch(name),
             stuck=self._loads.unstoppable(name),
             pace=self._pace.gap(name),
@@ -84,7 +84,7 @@
             silent=self._health.silent(name, busy_since),
             warming=self._engines.warming(engine),
             paused=paused,
-            doubted=found.standing is HealthState.DOUBTED,
+            doubted=found.state is HealthState.DOUBTED,
         )
 
     def choose(
@@ -100,17 +100,17 @@
         """
         views = self.views(service, tried)
         if self._shared is not None:
-            tried_now = None if once else self._shared.take_trial(views)
+            tried_now = None if once else self._shared.start_trial(views)
             if tried_now is not None:
                 return Placement(tried_now, 0)
-            views = list(preferred(views, once=once))
+            views = list(prefer_trusted(views, once=once))
         return choose(views, self.traffic, random.random)
 
     def take_trial(self, service: ServiceName) -> EngineView | None:
         """Take an engine that an item is to try now, if there is one."""
-        if self._shared is None or not self._shared.any_suspected:
+        if self._shared is None or not self._shared.any_failures:
             return None
-        return self._shared.take_trial(self.views(service))
+        return self._shared.start_trial(self.views(service))
 
     def wait(self, service: ServiceName) -> float | None:
         """Give the wait (s) of one more online request, if any is taken."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -108,7 +108,7 @@
     def notice(self, report: NodeReport) -> None:
         """Take what a peer has seen of engines and the object service."""
         self.pace.hear_run(report.run_ms / _MS)
-        self.shared_health.hear(report.evidence)
+        self.shared_health.receive(report.evidence)
         self._refusals.hear(NodeName(report.node), report.refused)
         for watch in self._watches():
             watch.notice(report.revisions.get(watch.prefix, 0))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -213,7 +213,7 @@
         if peer.link is not Link.CLOSE:
             return False
         shared = self.shared_health
-        if shared and shared.news(peer.evidence_told)[1]:
+        if shared and shared.updates_after(peer.evidence_told)[1]:
             return True
         return self._news.any_for(peer)
 
@@ -232,7 +232,9 @@
             report.missed = self._survey.missed_by(peer.record.node)
             shared = self.shared_health
             if shared and peer.link is Link.CLOSE:
-                peer.evidence_told, news = shared.news(peer.evidence_told)
+                peer.evidence_told, news = shared.updates_after(
+                    peer.evidence_told
+                )
                 report.evidence = news
             if peer.report is not None and peer.report.asks_levels:
                 report.levels = self._levels()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/__init__.py
@@ -1,1 +1,1 @@
-"""What the fleet knows of how its engines do, and who may try one again."""
+"""Circuit breaker for engines, shared by all processes of the fleet."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/codec.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/codec.py
@@ -1,6 +1,6 @@
-"""Read and write what processes tell each other of engines that failed.
+"""Conversion of observations to and from the messages between processes.
 
-A peer may be of another version, or broken: what can't be true is not used.
+Peers may run another version or be faulty, so received values are validated.
 """
 
 import math
@@ -15,71 +15,71 @@
 )
 from bendlead_gateway.types import EngineId, NodeName
 
-#: No witness has this many failures or answers within the time of memory.
-_MOST_COUNTED = 10_000
-#: What is as old as this (s) tells nothing any more.
-_OLDEST_SECONDS = 60.0
+_MAX_COUNT = 10_000
+#: All counts have decayed by this age.
+_MAX_AGE_SECONDS = 60.0
 _DIGITS = 2
-_MS = 1000
+_MS_PER_SECOND = 1000
+#: Value of ``failed_ms`` if the observer has seen no failure.
 _NEVER = -1
 
 
-def write(
-    life: EngineIncarnation, one: Observation, now: float
+def encode(
+    incarnation: EngineIncarnation, observation: Observation, now: float
 ) -> EngineEvidence:
-    """Tell a testimony to a peer."""
-    failed = math.isfinite(one.failed_at)
+    """Convert an observation to a message, with times as ages."""
+    failed = math.isfinite(observation.failed_at)
     return EngineEvidence(
-        engine=life.engine,
-        born=life.born,
-        witness=one.witness,
-        version=one.version,
-        age_ms=_age_ms(one.at, now),
-        failed_ms=_age_ms(one.failed_at, now) if failed else _NEVER,
+        engine=incarnation.engine,
+        born=incarnation.born,
+        witness=observation.observer,
+        version=observation.version,
+        age_ms=_age_ms(observation.at, now),
+        failed_ms=_age_ms(observation.failed_at, now) if failed else _NEVER,
         failures={
             kind.value: round(count, _DIGITS)
-            for kind, count in one.failures.items()
+            for kind, count in observation.failures.items()
         },
-        answers=round(one.answers, _DIGITS),
-        good=one.good,
+        answers=round(observation.answers, _DIGITS),
+        good=observation.good,
     )
 
 
-def read(told: EngineEvidence, now: float) -> Result[Observation, str]:
-    """Read a testimony, or say why it can't be true."""
-    counts = [*told.failures.values(), told.answers, told.good]
-    if not told.engine or not told.witness:
-        return Err('it names no engine or no witness')
-    if not all(0 <= count <= _MOST_COUNTED for count in counts):
-        return Err('a count is negative, huge or no number')
-    if told.version <= 0:
-        return Err('it has no version')
-    ages = (told.age_ms, max(told.failed_ms, 0))
-    if not all(0 <= age <= _OLDEST_SECONDS * _MS for age in ages):
-        return Err('an age is negative or too high')
+def decode(message: EngineEvidence, now: float) -> Result[Observation, str]:
+    """Convert a message to an observation, or return why it is invalid."""
+    counts = [*message.failures.values(), message.answers, message.good]
+    if not message.engine or not message.witness:
+        return Err('the engine or the witness is empty')
+    if not all(0 <= count <= _MAX_COUNT for count in counts):
+        return Err('a count is negative, too high or not a number')
+    if message.version <= 0:
+        return Err('the version is zero or negative')
+    ages = (message.age_ms, max(message.failed_ms, 0))
+    if not all(0 <= age <= _MAX_AGE_SECONDS * _MS_PER_SECOND for age in ages):
+        return Err('an age is negative or over 60 s')
     failed_at = -math.inf
-    if told.failed_ms != _NEVER:
-        failed_at = now - told.failed_ms / _MS
+    if message.failed_ms != _NEVER:
+        failed_at = now - message.failed_ms / _MS_PER_SECOND
     return Ok(
         Observation(
-            NodeName(told.witness),
-            now - told.age_ms / _MS,
-            told.version,
-            _known_kinds(told.failures),
-            told.answers,
-            told.good,
+            NodeName(message.witness),
+            now - message.age_ms / _MS_PER_SECOND,
+            message.version,
+            _known_kinds(message.failures),
+            message.answers,
+            message.good,
             failed_at,
         )
     )
 
 
-def incarnation_in(told: EngineEvidence) -> EngineIncarnation:
-    """Name the life that a testimony is about."""
-    return EngineIncarnation(EngineId(told.engine), told.born)
+def incarnation_in(message: EngineEvidence) -> EngineIncarnation:
+    """Return the engine incarnation that a message is about."""
+    return EngineIncarnation(EngineId(message.engine), message.born)
 
 
 def _known_kinds(failures: dict[str, float]) -> dict[FailureKind, float]:
-    """Leave out kinds that a newer version has added."""
+    """Leave out kinds that only a newer version knows."""
     known = {kind.value: kind for kind in FailureKind}
     return {
         known[name]: count for name, count in failures.items() if name in known
@@ -87,4 +87,4 @@
 
 
 def _age_ms(at: float, now: float) -> int:
-    return round(max(0, now - at) * _MS)
+    return round(max(0, now - at) * _MS_PER_SECOND)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
@@ -1,13 +1,10 @@
-"""Which engines are trusted, tried or left alone, by all testimonies.
+"""Health states of a service's engines, from all processes' observations.
 
-Load patterns: engines whose health check is good while they fail all requests,
-a part of them, or those from one hall; and witnesses that find engines failing
-because of their own link.
-
-How likely the outcomes are for an engine that fails a fifth of its requests is
-weighed against one that fails one in twenty, which is no reason to leave it
-alone. A process follows its own findings, and those of others as far as
-several agree.
+The score of an engine is the log-likelihood ratio of its outcomes between an
+engine that fails a fifth of its requests and one that fails one in twenty,
+which is tolerated. A process trusts its own observations; those of others count
+fully only where several agree, and not at all from an observer whose own
+network link seems to have failed.
 """
 
 import math
@@ -16,7 +13,10 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from bendlead_gateway._health.health_state import HealthAssessment, HealthState
+from bendlead_gateway._health.health_state import (
+    HealthAssessment,
+    HealthState,
+)
 from bendlead_gateway._health.observation import (
     MAX_FAILURES,
     DecayedObservation,
@@ -26,232 +26,265 @@
 )
 from bendlead_gateway.types import DataHall, Engine, NodeName
 
-#: An engine that fails this share of its requests is to be left alone,
+#: Share of requests that a bad and an acceptable engine fail.
 _BAD_SHARE = 0.2
-#: and one that fails this share is as good as the others.
-_FAIR_SHARE = 0.05
-_FAILURE_SCORE = math.log(_BAD_SHARE / _FAIR_SHARE)
-_ANSWER_SCORE = math.log((1 - _BAD_SHARE) / (1 - _FAIR_SHARE))
-#: From this score on an engine is left alone: two failures within a second
-#: without an answer between, or more of them among a few answers.
-_LEAVE_SCORE = 2.6
-#: Below this one it is used again, also where nobody could try it.
+_ACCEPTABLE_SHARE = 0.05
+_FAILURE_SCORE = math.log(_BAD_SHARE / _ACCEPTABLE_SHARE)
+_ANSWER_SCORE = math.log((1 - _BAD_SHARE) / (1 - _ACCEPTABLE_SHARE))
+#: Engines are ejected from this score on: two failures within a second without
+#: a success, or more failures among a few successes.
+_EJECT_SCORE = 2.6
+#: Below this score an ejected engine returns, even without a trial.
 _RETURN_SCORE = 1.4
-#: From this score on requests that may be sent once go elsewhere: one failure
-#: within the time of memory, which costs the engine nothing while others have
-#: room.
+#: From this score on, which one recent failure reaches, requests that can't be
+#: retried go to other engines.
 _DOUBT_SCORE = 0.5
-#: What another process alone says, or another hall alone, counts as one failure
-#: at most: it raises a doubt, and leaves no engine alone.
-_MOST_ALONE = 1.0
-#: Answers in a row, over all processes, behind which an engine is trusted
-#: again: twice as many as there were failures, within these bounds. One that
-#: fails some of its requests seldom gives so many in a row.
+#: Bound on the failures that count from a single other process, or from other
+#: processes in a single other hall: enough for doubt, too few to eject.
+_MAX_UNCONFIRMED_FAILURES = 1.0
+#: Consecutive successes, over all processes, after which an engine is trusted
+#: again: twice the number of failures, within these bounds.
 _GOOD_PER_FAILURE = 2
-_LEAST_GOOD = 6
-_MOST_GOOD = 8
-#: At most this share of a service is left alone, the worst engines: the others
-#: take two thirds more then, which is a burst as callers bring them.
-_MOST_LEFT_ALONE = 0.4
-#: A witness that finds this share of all engines failing has a bad link, or is
-#: broken; fewer than the least number may fail by themselves.
-_BAD_WITNESS_SHARE = 1 / 3
-_BAD_WITNESS_LEAST = 3
-#: One that finds this share of another hall failing is cut off from it.
+_MIN_GOOD = 6
+_MAX_GOOD = 8
+#: Bound on the ejected share of a service, so that the others can take the
+#: load; the engines with the highest scores are ejected first.
+_MAX_EJECTED_SHARE = 0.4
+#: An observer that sees this share of all engines failing, and at least this
+#: many, is assumed to have a bad link or to be broken itself.
+_UNRELIABLE_SHARE = 1 / 3
+_UNRELIABLE_MIN_ENGINES = 3
+#: An observer that sees this share of another hall failing, and at least this
+#: many engines, is assumed to be cut off from it.
 _CUT_HALL_SHARE = 0.5
-_CUT_HALL_LEAST = 2
-#: Failures of a life that make it a failing one to its witness.
-_FAILING = 0.5
-#: First and longest pause before an engine that was left alone is tried (s).
-_FIRST_PAUSE = 0.5
-_LAST_PAUSE = 4.0
+_CUT_HALL_MIN_ENGINES = 2
+#: Decayed failures from which an observer counts as seeing an engine fail.
+_MIN_FAILURES = 0.5
+#: Backoff before an ejected engine gets a trial.
+_FIRST_BACKOFF_SECONDS = 0.5
+_MAX_BACKOFF_SECONDS = 4.0
 
 
 class LocalNode(Struct, frozen=True):
-    """Say whose decision it is, and in which hall."""
+    """Name and hall of this process."""
 
     node: NodeName
     hall: DataHall
 
 
 class ServiceEngines(Struct, frozen=True):
-    """Hold the engines of a service by their lives, and how many a hall has."""
+    """Engines of a service by incarnation, and their number in each hall."""
 
-    lives: Mapping[EngineIncarnation, Engine]
+    incarnations: Mapping[EngineIncarnation, Engine]
     halls: Mapping[DataHall, int]
 
     @classmethod
     def of(cls, engines: Sequence[Engine]) -> 'ServiceEngines':
-        """Sort the engines of a service."""
-        lives = {incarnation_of(one): one for one in engines}
-        return cls(lives, _sizes(engines))
+        """Index the engines of a service."""
+        incarnations = {incarnation_of(engine): engine for engine in engines}
+        return cls(incarnations, _count_by_hall(engines))
 
 
-#: Testimonies on a life by their witnesses.
-Case = Mapping[NodeName, Observation]
+#: Observations of an incarnation by observer.
+ObservationsByNode = Mapping[NodeName, Observation]
 
 
 class HealthEvaluator:
-    """Weigh testimonies on the engines of one service at one moment."""
+    """Assess the engines of one service at one moment."""
 
     def __init__(
         self,
-        seat: LocalNode,
+        local_node: LocalNode,
         engines: ServiceEngines,
-        cases: Mapping[EngineIncarnation, Case],
+        observations: Mapping[EngineIncarnation, ObservationsByNode],
         halls: Mapping[NodeName, DataHall],
         now: float,
     ) -> None:
-        self._seat = seat
+        self._local_node = local_node
         self._engines = engines
         self._halls = halls
         self._now = now
-        self._cases: dict[
+        self._observations: dict[
             EngineIncarnation, dict[NodeName, DecayedObservation]
         ] = {}
-        for life, case in cases.items():
-            if life in engines.lives:
-                self._cases[life] = {
-                    witness: said.faded(now) for witness, said in case.items()
+        for incarnation, by_observer in observations.items():
+            if incarnation in engines.incarnations:
+                self._observations[incarnation] = {
+                    observer: observation.decayed(now)
+                    for observer, observation in by_observer.items()
                 }
-        self._distrusted = self.find_distrusted()
+        self._unreliable = self.find_unreliable()
 
-    def findings(
-        self, apart: Collection[EngineIncarnation]
+    def assess_all(
+        self, ejected: Collection[EngineIncarnation]
     ) -> dict[EngineIncarnation, HealthAssessment]:
-        """Judge each life with a case; some were set apart until now."""
-        found = {life: self._weigh(life) for life in self._cases}
+        """Assess each observed incarnation, given those ejected so far."""
+        assessments = {
+            incarnation: self._assess(incarnation)
+            for incarnation in self._observations
+        }
         bad = [
-            life
-            for life, one in found.items()
-            if not one.cleared and one.score >= _bound(life in apart)
+            incarnation
+            for incarnation, assessment in assessments.items()
+            if not assessment.cleared
+            and assessment.score >= _eject_threshold(incarnation in ejected)
         ]
-        bad.sort(key=lambda life: found[life].score, reverse=True)
-        most = max(1, int(len(self._engines.lives) * _MOST_LEFT_ALONE))
+        bad.sort(
+            key=lambda incarnation: assessments[incarnation].score,
+            reverse=True,
+        )
+        max_ejected = max(
+            1, int(len(self._engines.incarnations) * _MAX_EJECTED_SHARE)
+        )
         return {
-            life: _stand(one, life in bad[:most], self._now)
-            for life, one in found.items()
+            incarnation: _with_state(
+                assessment, incarnation in bad[:max_ejected], self._now
+            )
+            for incarnation, assessment in assessments.items()
         }
 
-    def credible(self, life: EngineIncarnation) -> Iterable[DecayedObservation]:
-        """List the testimonies that count here."""
-        for witness, one in self._cases[life].items():
-            if (witness, life) not in self._distrusted:
-                yield one
-
-    def weight(self, one: DecayedObservation) -> float:
-        """Bound what another process alone can say."""
-        own = one.said.witness == self._seat.node
-        if own or one.weighed <= _MOST_ALONE:
+    def reliable_observations(
+        self, incarnation: EngineIncarnation
+    ) -> Iterable[DecayedObservation]:
+        """Yield the observations that count for this process."""
+        for observer, observation in self._observations[incarnation].items():
+            if (observer, incarnation) not in self._unreliable:
+                yield observation
+
+    def weight(self, decayed: DecayedObservation) -> float:
+        """Return a weight that bounds the failures of a single peer."""
+        own = decayed.observation.observer == self._local_node.node
+        if own or decayed.weighted_failures <= _MAX_UNCONFIRMED_FAILURES:
             return 1
-        return _MOST_ALONE / one.weighed
+        return _MAX_UNCONFIRMED_FAILURES / decayed.weighted_failures
 
-    def find_distrusted(self) -> set[tuple[NodeName, EngineIncarnation]]:
-        """Find what witnesses say because of their own links."""
+    def find_unreliable(self) -> set[tuple[NodeName, EngineIncarnation]]:
+        """Find observations that the observer's own link may explain."""
         failing: dict[NodeName, list[Engine]] = {}
-        for life, case in self._cases.items():
-            engine = self._engines.lives[life]
-            for witness, one in case.items():
-                if one.failed >= _FAILING:
-                    failing.setdefault(witness, []).append(engine)
-        distrusted: set[tuple[NodeName, EngineIncarnation]] = set()
-        for witness, engines in failing.items():
-            if witness == self._seat.node:
+        for incarnation, by_observer in self._observations.items():
+            engine = self._engines.incarnations[incarnation]
+            for observer, decayed in by_observer.items():
+                if decayed.failures >= _MIN_FAILURES:
+                    failing.setdefault(observer, []).append(engine)
+        unreliable: set[tuple[NodeName, EngineIncarnation]] = set()
+        for observer, engines in failing.items():
+            if observer == self._local_node.node:
                 continue
-            if _many(len(engines), len(self._engines.lives)):
-                cut = engines
+            if _is_large_share(len(engines), len(self._engines.incarnations)):
+                unreachable = engines
             else:
-                cut = self._cut_off(witness, engines)
-            distrusted.update((witness, incarnation_of(one)) for one in cut)
-        return distrusted
-
-    def _weigh(self, life: EngineIncarnation) -> HealthAssessment:
-        """Add up what counts of a case."""
+                unreachable = self._cut_off(observer, engines)
+            unreliable.update(
+                (observer, incarnation_of(engine)) for engine in unreachable
+            )
+        return unreliable
+
+    def _assess(self, incarnation: EngineIncarnation) -> HealthAssessment:
+        """Sum up the reliable observations; the state is set later."""
         failures = 0.0
         answers = 0.0
-        heard = list(self.credible(life))
-        for one in heard:
-            weight = self.weight(one)
-            failures += one.weighed * weight
-            answers += one.answered * weight
-        most = _MOST_ALONE if self._elsewhere(heard) else MAX_FAILURES
-        failures = min(failures, most)
-        said = [one.said for one in heard]
-        failed_at = max((one.failed_at for one in said), default=-math.inf)
-        needed = max(_LEAST_GOOD, round(failures * _GOOD_PER_FAILURE))
-        good = [one for one in said if one.good and one.at > failed_at]
+        reliable = list(self.reliable_observations(incarnation))
+        for decayed in reliable:
+            weight = self.weight(decayed)
+            failures += decayed.weighted_failures * weight
+            answers += decayed.answers * weight
+        max_failures = (
+            _MAX_UNCONFIRMED_FAILURES
+            if self._only_other_hall(reliable)
+            else MAX_FAILURES
+        )
+        failures = min(failures, max_failures)
+        observations = [decayed.observation for decayed in reliable]
+        failed_at = max(
+            (observation.failed_at for observation in observations),
+            default=-math.inf,
+        )
+        needed = max(_MIN_GOOD, round(failures * _GOOD_PER_FAILURE))
+        good = [
+            observation
+            for observation in observations
+            if observation.good and observation.at > failed_at
+        ]
         return HealthAssessment(
             score=failures * _FAILURE_SCORE + answers * _ANSWER_SCORE,
             failures=failures,
             answers=answers,
-            good=sum(one.good for one in good),
-            good_needed=min(_MOST_GOOD, needed),
-            witnesses=sum(one.failed >= _FAILING for one in heard),
-            try_at=max(
-                [failed_at + _pause(failures), *(one.at for one in good)]
+            good=sum(observation.good for observation in good),
+            good_needed=min(_MAX_GOOD, needed),
+            observers=sum(
+                decayed.failures >= _MIN_FAILURES for decayed in reliable
+            ),
+            next_trial_at=max(
+                [
+                    failed_at + _backoff_seconds(failures),
+                    *(observation.at for observation in good),
+                ]
             ),
         )
 
-    def _elsewhere(self, heard: Sequence[DecayedObservation]) -> bool:
-        """Tell whether one other hall alone finds an engine failing.
+    def _only_other_hall(self, reliable: Sequence[DecayedObservation]) -> bool:
+        """Return whether only a single other hall sees an engine fail.
 
-        The way from there may fail, and not the engine.
+        The link between the halls may have failed instead of the engine.
         """
         halls = {
-            self._halls.get(one.said.witness, self._seat.hall)
-            for one in heard
-            if one.failed >= _FAILING
+            self._halls.get(decayed.observation.observer, self._local_node.hall)
+            for decayed in reliable
+            if decayed.failures >= _MIN_FAILURES
         }
-        return len(halls) == 1 and self._seat.hall not in halls
+        return len(halls) == 1 and self._local_node.hall not in halls
 
     def _cut_off(
-        self, witness: NodeName, failing: Sequence[Engine]
+        self, observer: NodeName, failing: Sequence[Engine]
     ) -> list[Engine]:
-        """List the engines in halls that a witness does not reach.
+        """Return the engines in halls that an observer can't reach.
 
-        A process of its own hall does not reach them either.
+        Observers in the hall of this process share its links, so their
+        observations count.
         """
-        hall = self._halls.get(witness)
-        if hall == self._seat.hall:
+        hall = self._halls.get(observer)
+        if hall == self._local_node.hall:
             return []
-        found = _sizes(failing)
+        counts = _count_by_hall(failing)
         cut = {
             other
-            for other, count in found.items()
+            for other, count in counts.items()
             if other != hall
-            and count >= _CUT_HALL_LEAST
+            and count >= _CUT_HALL_MIN_ENGINES
             and count >= self._engines.halls[other] * _CUT_HALL_SHARE
         }
-        return [one for one in failing if one.hall in cut]
+        return [engine for engine in failing if engine.hall in cut]
 
 
-def _stand(one: HealthAssessment, bad: bool, now: float) -> HealthAssessment:
-    standing = HealthState.TRUSTED
+def _with_state(
+    assessment: HealthAssessment, bad: bool, now: float
+) -> HealthAssessment:
+    state = HealthState.TRUSTED
     if bad:
-        due = now >= one.try_at
-        standing = HealthState.ON_TRIAL if due else HealthState.EJECTED
-    elif not one.cleared and one.score >= _DOUBT_SCORE:
-        standing = HealthState.DOUBTED
-    return replace(one, standing=standing)
+        due = now >= assessment.next_trial_at
+        state = HealthState.ON_TRIAL if due else HealthState.EJECTED
+    elif not assessment.cleared and assessment.score >= _DOUBT_SCORE:
+        state = HealthState.DOUBTED
+    return replace(assessment, state=state)
 
 
-def _bound(apart: bool) -> float:
-    return _RETURN_SCORE if apart else _LEAVE_SCORE
+def _eject_threshold(ejected: bool) -> float:
+    return _RETURN_SCORE if ejected else _EJECT_SCORE
 
 
-def _pause(failures: float) -> float:
-    """Give the pause before the next trial (s)."""
-    doubled = _FIRST_PAUSE * 2 ** max(0, failures - 2)
-    return min(_LAST_PAUSE, doubled)
+def _backoff_seconds(failures: float) -> float:
+    """Return the exponential backoff before the next trial."""
+    backoff = _FIRST_BACKOFF_SECONDS * 2 ** max(0, failures - 2)
+    return min(_MAX_BACKOFF_SECONDS, backoff)
 
 
-def _many(failing: int, engines: int) -> bool:
-    share = failing >= engines * _BAD_WITNESS_SHARE
-    return share and failing >= _BAD_WITNESS_LEAST
+def _is_large_share(failing: int, engines: int) -> bool:
+    large = failing >= engines * _UNRELIABLE_SHARE
+    return large and failing >= _UNRELIABLE_MIN_ENGINES
 
 
-def _sizes(engines: Iterable[Engine]) -> dict[DataHall, int]:
-    sizes: dict[DataHall, int] = {}
-    for one in engines:
-        sizes[one.hall] = sizes.get(one.hall, 0) + 1
-    return sizes
+def _count_by_hall(engines: Iterable[Engine]) -> dict[DataHall, int]:
+    counts: dict[DataHall, int] = {}
+    for engine in engines:
+        counts[engine.hall] = counts.get(engine.hall, 0) + 1
+    return counts
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
@@ -1,10 +1,10 @@
-"""All testimonies of lives of engines under suspicion, from all processes.
+"""Observations of failing engines, from this process and its peers.
 
-Load pattern: engines that fail at once look idle and draw many requests within
-the 0.1 s that news take; each process alone would lose some to each of them.
+Engines that fail fast look idle and attract requests, so failures are shared
+between processes to detect them sooner than each process could alone.
 
-A case on a life is opened by its first failure. From then on good answers are
-counted too: before, they are too many to be told.
+Successes are counted only for engines with a recorded failure; counting them
+for all engines would send too many updates.
 """
 
 from collections.abc import Iterator, Mapping
@@ -20,164 +20,191 @@
 )
 from bendlead_gateway.types import NodeName
 
-#: Testimonies kept, at some 0.5 kB each; the oldest go first.
-_MOST_KEPT = 4096
-#: Good answers behind a cleared case that are told in one (each change of a
-#: testimony passes over all links).
-_TOLD_TOGETHER = 2
-_MS = 1000
+#: Memory bound, at about 0.5 kB each; the oldest are dropped first.
+_MAX_OBSERVATIONS = 4096
+#: Successes sent in one update once an engine has recovered, since every
+#: update goes to all peers.
+_SUCCESSES_PER_UPDATE = 2
+_MS_PER_SECOND = 1000
 
 _Key = tuple[EngineIncarnation, NodeName]
 
 
 class EvidenceTable:
-    """Keep the newest testimony of each witness on each life.
+    """Latest observation by each process of each failing engine incarnation.
 
-    Moments are steady seconds of this process, and come in.
+    All times are passed in, as seconds of this process's monotonic clock.
     """
 
     def __init__(self, own: NodeName) -> None:
         self._own = own
-        self._cases: dict[EngineIncarnation, dict[NodeName, Observation]] = {}
-        self._opened: dict[EngineIncarnation, float] = {}
-        #: In the order in which they arrived, by number.
-        self._arrivals: dict[_Key, int] = {}
-        self._arrived = 0
-        self._untold: dict[EngineIncarnation, int] = {}
+        self._observations: dict[
+            EngineIncarnation, dict[NodeName, Observation]
+        ] = {}
+        self._opened_at: dict[EngineIncarnation, float] = {}
+        #: Revision of each observation, in ascending order.
+        self._revisions: dict[_Key, int] = {}
+        self._revision = 0
+        self._unsent: dict[EngineIncarnation, int] = {}
 
     @property
-    def arrived(self) -> int:
-        """Count the changes that are told on."""
-        return self._arrived
+    def revision(self) -> int:
+        """Number of changes so far that peers are to receive."""
+        return self._revision
 
     @property
-    def cases(
+    def observations(
         self,
     ) -> Mapping[EngineIncarnation, Mapping[NodeName, Observation]]:
-        """Give the testimonies on each life under suspicion."""
-        return self._cases
+        """Observations of each failing incarnation, by observer."""
+        return self._observations
 
-    def failed(
+    def record_failure(
         self,
-        life: EngineIncarnation,
+        incarnation: EngineIncarnation,
         kind: FailureKind,
         now: float,
         stamp: float,
     ) -> None:
-        """Note a failure seen here; the stamp is the time of day (s)."""
-        known = self._mine(life, now, stamp)
+        """Record a failure seen by this process at a wall-clock stamp (s)."""
+        known = self._own_observation(incarnation, now, stamp)
         failures = dict(known.failures)
-        counted = sum(failures.values())
-        if counted < MAX_FAILURES:
+        total = sum(failures.values())
+        if total < MAX_FAILURES:
             failures[kind] = failures.get(kind, 0) + 1
-        self._put(
-            life, replace(known, failures=failures, good=0, failed_at=now)
+        self._store(
+            incarnation,
+            replace(known, failures=failures, good=0, failed_at=now),
         )
 
-    def answered(
+    def record_success(
         self,
-        life: EngineIncarnation,
+        incarnation: EngineIncarnation,
         began: float,
         now: float,
         stamp: float,
         *,
         cleared: bool,
     ) -> None:
-        """Note a good answer seen here to a request sent at a moment.
+        """Record a success of a request that this process sent at ``began``.
 
-        Those sent before the case was opened say nothing of what came since.
+        Requests sent before the first recorded failure are ignored.
         """
-        if began < self._opened.get(life, now):
+        if began < self._opened_at.get(incarnation, now):
             return
-        known = self._mine(life, now, stamp)
-        previous = self._cases[life].get(self._own)
-        since = self.failed_at(life)
-        good = known.good if previous and previous.at > since else 0
-        if began > since:
+        known = self._own_observation(incarnation, now, stamp)
+        previous = self._observations[incarnation].get(self._own)
+        failed_at = self.latest_failure_at(incarnation)
+        good = known.good if previous and previous.at > failed_at else 0
+        if began > failed_at:
             good += 1
-        untold = self._untold.get(life, 0) + 1
-        tell = not cleared or untold >= _TOLD_TOGETHER
-        self._untold[life] = 0 if tell else untold
+        unsent = self._unsent.get(incarnation, 0) + 1
+        send = not cleared or unsent >= _SUCCESSES_PER_UPDATE
+        self._unsent[incarnation] = 0 if send else unsent
         answers = known.answers + 1
-        self._put(life, replace(known, answers=answers, good=good), tell=tell)
+        self._store(
+            incarnation, replace(known, answers=answers, good=good), send=send
+        )
 
-    def failed_at(self, life: EngineIncarnation) -> float:
-        """Give when anybody saw the latest failure of a life (s)."""
-        return max(one.failed_at for one in self._cases[life].values())
+    def latest_failure_at(self, incarnation: EngineIncarnation) -> float:
+        """Return when any process last saw the incarnation fail (s)."""
+        return max(
+            observation.failed_at
+            for observation in self._observations[incarnation].values()
+        )
 
-    def take(self, life: EngineIncarnation, told: Observation) -> bool:
-        """Take a testimony of another process; tell whether it is news."""
-        if told.witness == self._own:
+    def merge(
+        self, incarnation: EngineIncarnation, received: Observation
+    ) -> bool:
+        """Store a peer's observation; return whether it is a newer version."""
+        if received.observer == self._own:
             return False
-        known = self._cases.get(life, {}).get(told.witness)
-        if known is not None and known.version >= told.version:
+        known = self._observations.get(incarnation, {}).get(received.observer)
+        if known is not None and known.version >= received.version:
             return False
-        self._put(life, told)
+        self._store(incarnation, received)
         return True
 
-    def since(
-        self, arrival: int
+    def changes_after(
+        self, revision: int
     ) -> Iterator[tuple[int, EngineIncarnation, Observation]]:
-        """List what arrived after a number, the earliest first."""
+        """Return the observations after a revision, in ascending order."""
         newer: list[tuple[int, EngineIncarnation, Observation]] = []
-        for key, number in reversed(self._arrivals.items()):
-            if number <= arrival:
+        for key, number in reversed(self._revisions.items()):
+            if number <= revision:
                 break
-            life, witness = key
-            newer.append((number, life, self._cases[life][witness]))
+            incarnation, observer = key
+            newer.append(
+                (
+                    number,
+                    incarnation,
+                    self._observations[incarnation][observer],
+                )
+            )
         return reversed(newer)
 
-    def forget(self, life: EngineIncarnation) -> None:
-        """Forget a life that is over."""
-        for witness in self._cases.pop(life, {}):
-            self._arrivals.pop((life, witness), None)
-        self._opened.pop(life, None)
-        self._untold.pop(life, None)
+    def forget(self, incarnation: EngineIncarnation) -> None:
+        """Drop all observations of an incarnation that has ended."""
+        for observer in self._observations.pop(incarnation, {}):
+            self._revisions.pop((incarnation, observer), None)
+        self._opened_at.pop(incarnation, None)
+        self._unsent.pop(incarnation, None)
 
     def expire(self, now: float) -> None:
-        """Drop what has faded, and cases without any failure left."""
-        for life, case in list(self._cases.items()):
-            for witness, one in list(case.items()):
-                if not one.faded(now).tells:
-                    self._drop(life, witness)
-            # An engine that is busy goes on answering for ever.
-            if not any(one.faded(now).accuses for one in case.values()):
-                self.forget(life)
-
-    def _mine(
-        self, life: EngineIncarnation, now: float, stamp: float
+        """Drop decayed observations, and incarnations without failures."""
+        for incarnation, by_observer in list(self._observations.items()):
+            for observer, observation in list(by_observer.items()):
+                if not observation.decayed(now).significant:
+                    self._drop(incarnation, observer)
+            # Successes alone would keep the entry of a busy engine for ever.
+            if not any(
+                observation.decayed(now).failing
+                for observation in by_observer.values()
+            ):
+                self.forget(incarnation)
+
+    def _own_observation(
+        self, incarnation: EngineIncarnation, now: float, stamp: float
     ) -> Observation:
-        """Give our testimony, faded to now and with the next version."""
-        known = self._cases.get(life, {}).get(self._own)
+        """Return this process's observation, decayed, as its next version."""
+        known = self._observations.get(incarnation, {}).get(self._own)
         if known is None:
-            return Observation(self._own, now, round(stamp * _MS))
-        left = decay_factor(now - known.at)
+            return Observation(self._own, now, round(stamp * _MS_PER_SECOND))
+        factor = decay_factor(now - known.at)
         return replace(
             known,
             at=now,
-            # Versions go on rising where the time of day is set back.
-            version=max(known.version + 1, round(stamp * _MS)),
-            failures={kind: one * left for kind, one in known.failures.items()},
-            answers=known.answers * left,
+            # Versions must rise even if the wall clock is set back.
+            version=max(known.version + 1, round(stamp * _MS_PER_SECOND)),
+            failures={
+                kind: count * factor for kind, count in known.failures.items()
+            },
+            answers=known.answers * factor,
         )
 
-    def _put(
-        self, life: EngineIncarnation, one: Observation, *, tell: bool = True
+    def _store(
+        self,
+        incarnation: EngineIncarnation,
+        observation: Observation,
+        *,
+        send: bool = True,
     ) -> None:
-        self._opened.setdefault(life, one.at)
-        self._cases.setdefault(life, {})[one.witness] = one
-        key = (life, one.witness)
-        if not tell and key in self._arrivals:
+        self._opened_at.setdefault(incarnation, observation.at)
+        self._observations.setdefault(incarnation, {})[observation.observer] = (
+            observation
+        )
+        key = (incarnation, observation.observer)
+        if not send and key in self._revisions:
             return
-        self._arrivals.pop(key, None)
-        self._arrived += 1
-        self._arrivals[key] = self._arrived
-        if len(self._arrivals) > _MOST_KEPT:
-            self._drop(*next(iter(self._arrivals)))
-
-    def _drop(self, life: EngineIncarnation, witness: NodeName) -> None:
-        self._arrivals.pop((life, witness), None)
-        case = self._cases[life]
-        case.pop(witness, None)
-        if not case:
-            self.forget(life)
+        self._revisions.pop(key, None)
+        self._revision += 1
+        self._revisions[key] = self._revision
+        if len(self._revisions) > _MAX_OBSERVATIONS:
+            self._drop(*next(iter(self._revisions)))
+
+    def _drop(self, incarnation: EngineIncarnation, observer: NodeName) -> None:
+        self._revisions.pop((incarnation, observer), None)
+        by_observer = self._observations[incarnation]
+        by_observer.pop(observer, None)
+        if not by_observer:
+            self.forget(incarnation)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/failed_requests.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failed_requests.py
@@ -1,7 +1,7 @@
-"""Requests that failed at an engine, as they may bring the failure with them.
+"""Detect requests that fail on every engine.
 
-Load pattern: one request that no engine can serve, sent again and again by its
-caller; it would have one engine after the other left alone.
+A caller that retries such a request would otherwise get one engine after the
+other ejected.
 """
 
 from collections import OrderedDict
@@ -10,31 +10,31 @@
 from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway._suspects.digest import RequestDigest
 
-#: Requests remembered; the oldest go first.
-_MOST_KEPT = 512
+#: Memory bound; the oldest requests are dropped first.
+_MAX_REQUESTS = 512
 
 
 class FailedRequests:
-    """Remember under which life of an engine each request failed first."""
+    """Engine incarnation on which each failed request failed first."""
 
     def __init__(self) -> None:
         self._first: OrderedDict[RequestDigest, EngineIncarnation] = (
             OrderedDict()
         )
 
-    def brings_failure(
-        self, digest: RequestDigest, life: EngineIncarnation
+    def record_failure(
+        self, digest: RequestDigest, incarnation: EngineIncarnation
     ) -> bool:
-        """Note a failure; tell whether the request failed elsewhere before."""
-        first = self._first.setdefault(digest, life)
-        if len(self._first) > _MOST_KEPT:
+        """Record a failure; return whether the request failed elsewhere."""
+        first = self._first.setdefault(digest, incarnation)
+        if len(self._first) > _MAX_REQUESTS:
             self._first.popitem(last=False)
-        return first != life
+        return first != incarnation
 
-    def answered(self, digest_of: Callable[[], RequestDigest]) -> None:
-        """Hold nothing against a request that an engine answers.
+    def record_success(self, digest_of: Callable[[], RequestDigest]) -> None:
+        """Forget the failures of a request that succeeded.
 
-        The digest is made only while something is remembered.
+        The digest is computed only if there are failed requests.
         """
         if self._first:
             self._first.pop(digest_of(), None)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
@@ -1,4 +1,4 @@
-"""What kind of failure an error of a connection is, for whoever sends."""
+"""Classify connection errors and responses as engine failures."""
 
 import errno
 from http import HTTPStatus
@@ -6,8 +6,8 @@
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import SilentPeerError
 
-#: These say that this process has no more room, or no network.
-_OWN_TROUBLE = frozenset(
+#: Local resource or network errors, which are not the engine's fault.
+_LOCAL_ERRNOS = frozenset(
     (
         errno.EMFILE,
         errno.ENFILE,
@@ -20,8 +20,8 @@
 
 
 def classify_error(error: OSError) -> FailureKind | None:
-    """Name the kind of an engine's failure, if the failure is the engine's."""
-    if error.errno in _OWN_TROUBLE:
+    """Return the failure kind of a connection error, None if it is local."""
+    if error.errno in _LOCAL_ERRNOS:
         return None
     if isinstance(error, ConnectionRefusedError):
         return FailureKind.REFUSED
@@ -31,10 +31,10 @@
 
 
 def classify_status(status: int) -> FailureKind | None:
-    """Name the kind of failure that an engine's own answer is, if it is one.
+    """Return the failure kind of a response status, None if it is no failure.
 
-    At its deadline a request ends with 504 on an engine that is full, and what
-    is wrong with a request is no failure of the engine.
+    A 504 is no failure: a full engine sends it for a request that reached its
+    deadline. Nor is a 4xx, where the request is at fault.
     """
     if status == HTTPStatus.GATEWAY_TIMEOUT:
         return None
@@ -44,9 +44,10 @@
 
 
 def classify_missing_response(error: OSError, *, replaced: bool) -> FailureKind:
-    """Name the kind of failure of an engine that gave no answer.
+    """Return the failure kind of a request that got no response.
 
-    One that is replaced may only have been slow to begin.
+    A request that is retried on another engine before its deadline may only
+    have been slow to start.
     """
     if not isinstance(error, SilentPeerError):
         return FailureKind.BROKEN
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/health_state.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/health_state.py
@@ -1,4 +1,4 @@
-"""How an engine stands, and by what."""
+"""Health states of an engine, as of a circuit breaker."""
 
 import enum
 
@@ -6,47 +6,47 @@
 
 
 class HealthState(enum.Enum):
-    """Say what an engine is given."""
+    """Which requests an engine may get."""
 
-    #: Whatever is to be served.
+    #: All requests.
     TRUSTED = 'trusted'
-    #: Nothing that may be sent once, while others have room.
+    #: No request that can't be retried, while trusted engines have free slots.
     DOUBTED = 'doubted'
-    #: One request at a time.
+    #: One trial request at a time (half-open).
     ON_TRIAL = 'on-trial'
-    #: Nothing for now.
+    #: No requests until the next trial is due (open).
     EJECTED = 'left-alone'
 
 
 class HealthAssessment(Struct, frozen=True):
-    """Say how an engine stands, and by what."""
+    """Health state of an engine, and the counts that led to it."""
 
-    standing: HealthState = HealthState.TRUSTED
+    state: HealthState = HealthState.TRUSTED
     score: float = 0
     failures: float = 0
     answers: float = 0
     good: int = 0
     good_needed: int = 0
-    witnesses: int = 0
-    #: From when on it may be tried (s).
-    try_at: float = 0
+    observers: int = 0
+    #: Earliest time of the next trial (s).
+    next_trial_at: float = 0
 
     @property
     def cleared(self) -> bool:
-        """Tell whether enough answers came since the last failure."""
+        """Whether enough requests have succeeded since the last failure."""
         return self.good >= self.good_needed
 
     @property
-    def failed_at_once(self) -> int:
-        """Count requests that leave the engine idle because they failed.
+    def failure_load(self) -> int:
+        """Number of recent failures to count as running requests.
 
-        They count as running there, or it would draw more of them.
+        Without them a doubted engine that fails fast would look idle.
         """
-        if self.standing is not HealthState.DOUBTED:
+        if self.state is not HealthState.DOUBTED:
             return 0
         return round(self.failures)
 
     @property
     def out_of_rotation(self) -> bool:
-        """Tell whether the engine takes no part in placement."""
-        return self.standing in {HealthState.ON_TRIAL, HealthState.EJECTED}
+        """Whether placement leaves out the engine."""
+        return self.state in {HealthState.ON_TRIAL, HealthState.EJECTED}
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/monitor.py
@@ -1,4 +1,4 @@
-"""How each engine stands now, and since when it does."""
+"""Current health state of each engine."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -8,136 +8,155 @@
     ServiceEngines,
 )
 from bendlead_gateway._health.evidence import EvidenceTable
-from bendlead_gateway._health.health_state import HealthAssessment, HealthState
+from bendlead_gateway._health.health_state import (
+    HealthAssessment,
+    HealthState,
+)
 from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import DataHall, Engine, NodeName, ServiceName
 
-#: News of peers is about this old (s), so judging more often costs time and
-#: tells nothing new.
-_LOOK_SECONDS = 0.05
-#: What has faded is dropped, and engines are sorted anew, this often (s).
+#: Age up to which assessments are reused; about the age of peers' reports.
+_REFRESH_SECONDS = 0.05
+#: Interval between expiring evidence and listing the engines anew.
 _EXPIRE_SECONDS = 1.0
-_FINE = HealthAssessment()
+_HEALTHY = HealthAssessment()
 _DIGITS = 2
 
-#: Lists the engines that service discovery tells of.
+#: Returns the engines known to service discovery.
 ListEngines = Callable[[], Sequence[Engine]]
-#: Gives the hall of each process.
+#: Returns the hall of each process.
 ListHalls = Callable[[], Mapping[NodeName, DataHall]]
 
 
 class HealthMonitor:
-    """Judge anew where evidence or time calls for it, and log each change."""
+    """Cache the assessments of engines, and log each change of state."""
 
     def __init__(
         self,
-        seat: LocalNode,
+        local_node: LocalNode,
         evidence: EvidenceTable,
         list_engines: ListEngines,
         log: Log,
-        judge: type[HealthEvaluator] = HealthEvaluator,
+        evaluator: type[HealthEvaluator] = HealthEvaluator,
     ) -> None:
-        self._seat = seat
+        self._local_node = local_node
         self._evidence = evidence
         self._list_engines = list_engines
         self._log = log
-        self._judge = judge
-        self._found: dict[EngineIncarnation, HealthAssessment] = {}
-        self._looked_at = 0.0
+        self._evaluator = evaluator
+        self._assessments: dict[EngineIncarnation, HealthAssessment] = {}
+        self._refreshed_at = 0.0
         self._expired_at = 0.0
         self._stale = False
         self._services: Sequence[ServiceEngines] = ()
         self.list_halls: ListHalls = dict
 
-    def finding(self, life: EngineIncarnation, now: float) -> HealthAssessment:
-        """Give how an engine stands."""
-        if not self._evidence.cases and not self._found:
-            return _FINE
-        if self._stale or now - self._looked_at > _LOOK_SECONDS:
-            self._look(now)
-        return self._found.get(life, _FINE)
+    def assess(
+        self, incarnation: EngineIncarnation, now: float
+    ) -> HealthAssessment:
+        """Return the assessment of an engine."""
+        if not self._evidence.observations and not self._assessments:
+            return _HEALTHY
+        if self._stale or now - self._refreshed_at > _REFRESH_SECONDS:
+            self._refresh(now)
+        return self._assessments.get(incarnation, _HEALTHY)
 
     def invalidate(self) -> None:
-        """Weigh anew at the next question: something failed here."""
+        """Make the next call of ``assess`` evaluate all evidence anew."""
         self._stale = True
 
-    def all(self, now: float) -> Mapping[EngineIncarnation, HealthAssessment]:
-        """Give how each engine under suspicion stands."""
-        self._look(now)
-        return self._found
+    def assess_all(
+        self, now: float
+    ) -> Mapping[EngineIncarnation, HealthAssessment]:
+        """Return the assessments of all engines with recent failures."""
+        self._refresh(now)
+        return self._assessments
 
-    def _look(self, now: float) -> None:
-        self._looked_at = now
+    def _refresh(self, now: float) -> None:
+        self._refreshed_at = now
         self._stale = False
         if now - self._expired_at > _EXPIRE_SECONDS:
             self._expired_at = now
             self._evidence.expire(now)
-            self._services = self._sort_engines()
-        found: dict[EngineIncarnation, HealthAssessment] = {}
-        for engines in self._touched():
-            judge = self._judge(
-                self._seat,
+            self._services = self._group_engines()
+        assessments: dict[EngineIncarnation, HealthAssessment] = {}
+        for engines in self._observed_services():
+            evaluator = self._evaluator(
+                self._local_node,
                 engines,
-                self._evidence.cases,
+                self._evidence.observations,
                 self.list_halls(),
                 now,
             )
-            found.update(judge.findings(self._apart()))
-        known = self._found.keys() | found.keys()
-        for life in known:
-            self._note(life, self._found.get(life, _FINE), found.get(life))
-        self._found = found
+            assessments.update(evaluator.assess_all(self._ejected()))
+        incarnations = self._assessments.keys() | assessments.keys()
+        for incarnation in incarnations:
+            self._log_change(
+                incarnation,
+                self._assessments.get(incarnation, _HEALTHY),
+                assessments.get(incarnation),
+            )
+        self._assessments = assessments
 
-    def _apart(self) -> frozenset[EngineIncarnation]:
+    def _ejected(self) -> frozenset[EngineIncarnation]:
         return frozenset(
-            life for life, one in self._found.items() if one.out_of_rotation
+            incarnation
+            for incarnation, assessment in self._assessments.items()
+            if assessment.out_of_rotation
         )
 
-    def _touched(self) -> list[ServiceEngines]:
-        """List the services where any engine is under suspicion."""
-        if any(not self._sorted(life) for life in self._evidence.cases):
-            # One was listed since, and has failed already.
-            self._services = self._sort_engines()
-        lives = self._evidence.cases.keys()
+    def _observed_services(self) -> list[ServiceEngines]:
+        """Return the services with observations of any engine."""
+        if any(
+            not self._is_grouped(incarnation)
+            for incarnation in self._evidence.observations
+        ):
+            # An engine was discovered, and failed, since the last refresh.
+            self._services = self._group_engines()
+        observed = self._evidence.observations.keys()
         return [
-            one for one in self._services if not lives.isdisjoint(one.lives)
+            service
+            for service in self._services
+            if not observed.isdisjoint(service.incarnations)
         ]
 
-    def _sorted(self, life: EngineIncarnation) -> bool:
-        return any(life in one.lives for one in self._services)
+    def _is_grouped(self, incarnation: EngineIncarnation) -> bool:
+        return any(
+            incarnation in service.incarnations for service in self._services
+        )
 
-    def _sort_engines(self) -> list[ServiceEngines]:
+    def _group_engines(self) -> list[ServiceEngines]:
         by_service: dict[ServiceName, list[Engine]] = {}
-        for one in self._list_engines():
-            by_service.setdefault(one.service, []).append(one)
+        for engine in self._list_engines():
+            by_service.setdefault(engine.service, []).append(engine)
         return [ServiceEngines.of(engines) for engines in by_service.values()]
 
-    def _note(
+    def _log_change(
         self,
-        life: EngineIncarnation,
-        before: HealthAssessment,
-        found: HealthAssessment | None,
+        incarnation: EngineIncarnation,
+        previous: HealthAssessment,
+        assessment: HealthAssessment | None,
     ) -> None:
-        after = found or _FINE
-        if _shown(after.standing) == _shown(before.standing):
+        latest = assessment or _HEALTHY
+        if _logged_state(latest.state) == _logged_state(previous.state):
             return
         self._log.event(
             'engine-standing',
-            engine=life.engine,
-            born=life.born,
-            before=_shown(before.standing),
-            standing=_shown(after.standing),
-            score=round(after.score, _DIGITS),
-            failures=round(after.failures, _DIGITS),
-            answers=round(after.answers, _DIGITS),
-            good=f'{after.good}/{after.good_needed}',
-            witnesses=after.witnesses,
+            engine=incarnation.engine,
+            born=incarnation.born,
+            before=_logged_state(previous.state),
+            standing=_logged_state(latest.state),
+            score=round(latest.score, _DIGITS),
+            failures=round(latest.failures, _DIGITS),
+            answers=round(latest.answers, _DIGITS),
+            good=f'{latest.good}/{latest.good_needed}',
+            witnesses=latest.observers,
         )
 
 
-def _shown(standing: HealthState) -> str:
-    """Take a pause and the trials between pauses for one standing."""
-    if standing is HealthState.EJECTED:
+def _logged_state(state: HealthState) -> str:
+    """Log backoff and trials as one state, since they alternate."""
+    if state is HealthState.EJECTED:
         return HealthState.ON_TRIAL.value
-    return standing.value
+    return state.value
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/observation.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/observation.py
@@ -1,4 +1,4 @@
-"""What one process found of one life of an engine."""
+"""What one process has observed of one engine incarnation."""
 
 import enum
 import math
@@ -9,96 +9,97 @@
 
 from bendlead_gateway.types import Engine, EngineId, NodeName
 
-#: Counts fade to a third over this long (s): long enough that an engine that
-#: fails a tenth of its requests is told apart by the few that it gets, and
-#: short enough that one that was repaired is used again without any trial.
+#: Time constant of the exponential decay of counts: long enough to detect an
+#: engine that fails a tenth of few requests, short enough that a repaired
+#: engine recovers without a trial.
 DECAY_SECONDS = 8.0
-#: Failures of a life beyond these are not counted: all that run on an engine
-#: fail with it at once, and it would be left alone for long after its repair.
+#: Bound on the counted failures of an incarnation, since all requests running
+#: on an engine fail together and would delay its return after a repair.
 MAX_FAILURES = 6.0
-#: A count that has faded below this tells nothing any more.
-_LEAST = 0.3
+#: Decayed counts below this are ignored.
+_MIN_COUNT = 0.3
 
 
 class FailureKind(enum.Enum):
-    """Say how an engine failed a request."""
+    """How an engine failed a request."""
 
     REFUSED = 'refused'
     BROKEN = 'broken'
     ERROR = 'error'
     SILENT = 'silent'
-    #: No answer yet when another engine could still give one in time.
+    #: No response yet when another engine could still meet the deadline.
     SLOW = 'slow'
 
 
-#: How much a failure tells, where not as much as others: a refused connection
-#: is certain, and an engine that is slow to begin may be full.
+#: Weights other than 1: a refused connection is certain to be a failure, and a
+#: slow engine may only be full.
 _WEIGHTS = {FailureKind.REFUSED: 2.0, FailureKind.SLOW: 0.5}
 
 
 class EngineIncarnation(NamedTuple):
-    """Name one life of an engine."""
+    """Identity of one start of an engine."""
 
     engine: EngineId
     born: int
 
 
 class Observation(Struct, frozen=True):
-    """Keep what a witness found of a life, faded to a moment (s).
+    """Counts by one observer of one incarnation, decayed until ``at`` (s).
 
-    ``good`` counts the answers that began since the last failure anybody had.
-    ``version`` rises with each change at the witness.
+    ``answers`` counts successful responses; ``good`` is the number of them
+    since any process last saw a failure, and does not decay.
+    ``version`` rises with each change by the observer.
     """
 
-    witness: NodeName
+    observer: NodeName
     at: float
     version: int
     failures: Mapping[FailureKind, float] = field(default_factory=dict)
     answers: float = 0
     good: int = 0
-    #: When the witness saw the latest failure (s); minus infinity for never.
+    #: When the observer saw the latest failure (s); minus infinity for never.
     failed_at: float = -math.inf
 
-    def faded(self, now: float) -> 'DecayedObservation':
-        """Give what is left of its counts."""
-        left = decay_factor(now - self.at)
-        failed = sum(self.failures.values())
-        weighed = sum(
+    def decayed(self, now: float) -> 'DecayedObservation':
+        """Return the counts decayed until now."""
+        factor = decay_factor(now - self.at)
+        failures = sum(self.failures.values())
+        weighted = sum(
             count * _WEIGHTS.get(kind, 1)
             for kind, count in self.failures.items()
         )
         return DecayedObservation(
-            self, failed * left, weighed * left, self.answers * left
+            self, failures * factor, weighted * factor, self.answers * factor
         )
 
 
 class DecayedObservation(NamedTuple):
-    """Hold what is left of a testimony's counts at one moment.
+    """Counts of an observation, decayed until some time.
 
-    ``weighed`` counts failures by how much each tells.
+    ``weighted_failures`` weighs each failure by its kind.
     """
 
-    said: Observation
-    failed: float
-    weighed: float
-    answered: float
+    observation: Observation
+    failures: float
+    weighted_failures: float
+    answers: float
 
     @property
-    def accuses(self) -> bool:
-        """Tell whether a failure is left of it."""
-        return self.failed > _LEAST
+    def failing(self) -> bool:
+        """Whether a significant count of failures is left."""
+        return self.failures > _MIN_COUNT
 
     @property
-    def tells(self) -> bool:
-        """Tell whether anything of it is still worth keeping."""
-        return max(self.failed, self.answered) > _LEAST
+    def significant(self) -> bool:
+        """Whether a significant count of any kind is left."""
+        return max(self.failures, self.answers) > _MIN_COUNT
 
 
 def incarnation_of(engine: Engine) -> EngineIncarnation:
-    """Name the life of an engine as it is listed."""
+    """Return the incarnation of an engine in service discovery."""
     return EngineIncarnation(engine.engine, engine.born)
 
 
 def decay_factor(seconds: float) -> float:
-    """Give the part of a count that is left after some seconds."""
+    """Return the share of a count that is left after some seconds."""
     return math.exp(-max(0, seconds) / DECAY_SECONDS)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/preference.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/preference.py
@@ -1,24 +1,21 @@
-"""Which engines a request may go to, by what it would cost to lose it.
-
-Load pattern: streams that may be sent to one engine only, beside requests that
-may be repeated, while some engines fail all they get.
-"""
+"""Choose engines by whether a failed request could be retried."""
 
 from collections.abc import Sequence
 
 from bendlead_gateway._scheduling.view import EngineView
 
 
-def preferred(
+def prefer_trusted(
     views: Sequence[EngineView], *, once: bool
 ) -> Sequence[EngineView]:
-    """Leave out doubted engines for what may be sent once, while others can.
+    """Leave out doubted engines for a request that can't be retried.
 
-    Those that are left alone are left out by placement, for all requests.
+    Return all engines if no trusted one has a free slot. Placement leaves out
+    ejected engines by itself.
     """
     if not once:
         return views
-    trusted = [one for one in views if not one.doubted and not one.paused]
-    if any(one.free > 0 for one in trusted):
+    trusted = [view for view in views if not view.doubted and not view.paused]
+    if any(view.free > 0 for view in trusted):
         return trusted
     return views
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -1,4 +1,4 @@
-"""Engine health as the whole fleet knows it, for whoever sends requests."""
+"""Engine health shared by the fleet, for processes that send requests."""
 
 import time
 from collections.abc import Callable, Iterable, Sequence
@@ -11,7 +11,10 @@
 from bendlead_gateway._health.evaluator import LocalNode
 from bendlead_gateway._health.evidence import EvidenceTable
 from bendlead_gateway._health.failed_requests import FailedRequests
-from bendlead_gateway._health.health_state import HealthAssessment, HealthState
+from bendlead_gateway._health.health_state import (
+    HealthAssessment,
+    HealthState,
+)
 from bendlead_gateway._health.monitor import (
     HealthMonitor,
     ListEngines,
@@ -33,178 +36,208 @@
 from bendlead_gateway._suspects.digest import RequestDigest
 from bendlead_gateway.types import Engine
 
-#: Records that one report tells; the others follow in the next.
-_MOST_TOLD = 64
-#: A trial without an outcome after this long (s) was given up by its caller.
-_TRIAL_SECONDS = 1.5
+#: Bound on the size of one report; further updates follow in the next.
+_MAX_UPDATES_PER_REPORT = 64
+#: A trial without an outcome by then was cancelled by its caller.
+_TRIAL_TIMEOUT_SECONDS = 1.5
 
 
 class SharedHealth:
-    """Gather evidence here and from peers, and tell how engines stand."""
+    """Collect evidence from this process and its peers, and assess engines."""
 
     def __init__(
         self,
-        seat: LocalNode,
+        local_node: LocalNode,
         list_engines: ListEngines,
         log: Log,
         metrics: Metrics,
     ) -> None:
-        self._seat = seat
+        self._local_node = local_node
         self._log = log
         self._metrics = metrics
         self._list_engines = list_engines
-        self._evidence = EvidenceTable(seat.node)
-        self.monitor = HealthMonitor(seat, self._evidence, list_engines, log)
+        self._evidence = EvidenceTable(local_node.node)
+        self.monitor = HealthMonitor(
+            local_node, self._evidence, list_engines, log
+        )
         self._requests = FailedRequests()
         self._trials: dict[EngineIncarnation, float] = {}
-        self._turns = TrialSchedule(self._alone)
+        self._schedule = TrialSchedule(self._only_this_node)
 
-    def meet(self, list_triers: ListTrialNodes, list_halls: ListHalls) -> None:
-        """Ask here which other processes there are."""
-        self._turns = TrialSchedule(list_triers)
+    def configure_peers(
+        self, list_trial_nodes: ListTrialNodes, list_halls: ListHalls
+    ) -> None:
+        """Set the functions that list the other processes."""
+        self._schedule = TrialSchedule(list_trial_nodes)
         self.monitor.list_halls = list_halls
 
     @property
-    def any_suspected(self) -> bool:
-        """Tell whether any engine has failed of late."""
-        return bool(self._evidence.cases)
+    def any_failures(self) -> bool:
+        """Whether any engine has failed recently."""
+        return bool(self._evidence.observations)
 
     @property
-    def arrived(self) -> int:
-        """Count the news so far; what is told rests while this does."""
-        return self._evidence.arrived
+    def revision(self) -> int:
+        """Number of changes so far that peers are to receive."""
+        return self._evidence.revision
 
-    def finding(self, engine: Engine) -> HealthAssessment:
-        """Tell how an engine stands."""
-        return self.monitor.finding(incarnation_of(engine), clock.uptime())
+    def assess(self, engine: Engine) -> HealthAssessment:
+        """Return the assessment of an engine."""
+        return self.monitor.assess(incarnation_of(engine), clock.uptime())
 
-    def failed(
+    def record_failure(
         self,
         engine: Engine,
         kind: FailureKind | None,
         digest: RequestDigest | None,
     ) -> None:
-        """Note a failure, unless it is our own or the request brings it."""
+        """Record a failure, unless it is local or the request causes it."""
         if kind is None:
             return
-        life = incarnation_of(engine)
-        self._trials.pop(life, None)
-        if digest and self._requests.brings_failure(digest, life):
+        incarnation = incarnation_of(engine)
+        self._trials.pop(incarnation, None)
+        if digest and self._requests.record_failure(digest, incarnation):
             self._log.event(
                 'failure-of-request', engine=engine.engine, digest=digest
             )
             return
-        self._evidence.failed(life, kind, clock.uptime(), time.time())
+        self._evidence.record_failure(
+            incarnation, kind, clock.uptime(), time.time()
+        )
         self.monitor.invalidate()
         self._metrics.load.engine_evidence[kind.value] += 1
 
-    def answered(
+    def record_success(
         self,
         engine: Engine,
         began: float,
         digest_of: Callable[[], RequestDigest],
     ) -> None:
-        """Note the begin of a good answer to a request sent at a moment."""
-        self._requests.answered(digest_of)
-        life = incarnation_of(engine)
-        self._trials.pop(life, None)
-        if life in self._evidence.cases:
-            cleared = self.finding(engine).cleared
-            self._evidence.answered(
-                life, began, clock.uptime(), time.time(), cleared=cleared
+        """Record the start of a good response to a request sent at ``began``.
+
+        ``began`` is a time of the monotonic clock (s).
+        """
+        self._requests.record_success(digest_of)
+        incarnation = incarnation_of(engine)
+        self._trials.pop(incarnation, None)
+        if incarnation in self._evidence.observations:
+            cleared = self.assess(engine).cleared
+            self._evidence.record_success(
+                incarnation,
+                began,
+                clock.uptime(),
+                time.time(),
+                cleared=cleared,
             )
 
-    def take_trial(self, views: Iterable[EngineView]) -> EngineView | None:
-        """Take an engine that this process is to try now, if there is one."""
+    def start_trial(self, views: Iterable[EngineView]) -> EngineView | None:
+        """Return an engine that this process is to try now, or None."""
         for view in views:
             if view.paused and self._may_try(view):
-                life = incarnation_of(view.engine)
-                self._trials[life] = clock.uptime()
+                incarnation = incarnation_of(view.engine)
+                self._trials[incarnation] = clock.uptime()
                 self._metrics.load.engine_trials += 1
                 self._log.event(
-                    'engine-trial', engine=view.name, born=life.born
+                    'engine-trial', engine=view.name, born=incarnation.born
                 )
                 return view
         return None
 
-    def hear(self, told: Sequence[EngineEvidence]) -> None:
-        """Take what a peer tells of engines."""
-        if not told:
+    def receive(self, messages: Sequence[EngineEvidence]) -> None:
+        """Store the observations in a peer's report; log unusable ones."""
+        if not messages:
             return
         now = clock.uptime()
-        lives = {incarnation_of(one) for one in self._list_engines()}
-        for one in told:
-            life = codec.incarnation_in(one)
-            found = codec.read(one, now)
-            if isinstance(found, Err):
-                self._pass_over(one, found.err_value)
-            elif life in lives:
-                self._evidence.take(life, found.ok_value)
+        listed = {incarnation_of(engine) for engine in self._list_engines()}
+        for message in messages:
+            incarnation = codec.incarnation_in(message)
+            decoded = codec.decode(message, now)
+            if isinstance(decoded, Err):
+                self._log_unusable(message, decoded.err_value)
+            elif incarnation in listed:
+                self._evidence.merge(incarnation, decoded.ok_value)
             else:
-                self._pass_over(one, 'no such engine is listed')
+                self._log_unusable(
+                    message, 'service discovery lists no such engine'
+                )
 
-    def news(self, after: int) -> tuple[int, list[EngineEvidence]]:
-        """Tell what arrived after a number, and up to which number."""
-        told: list[EngineEvidence] = []
+    def updates_after(self, revision: int) -> tuple[int, list[EngineEvidence]]:
+        """Return the last revision in the next report, and its updates."""
+        updates: list[EngineEvidence] = []
         now = clock.uptime()
-        for number, life, one in self._evidence.since(after):
-            if len(told) == _MOST_TOLD:
+        for number, incarnation, observation in self._evidence.changes_after(
+            revision
+        ):
+            if len(updates) == _MAX_UPDATES_PER_REPORT:
                 break
-            after = number
-            told.append(codec.write(life, one, now))
-        return after, told
+            revision = number
+            updates.append(codec.encode(incarnation, observation, now))
+        return revision, updates
 
     def forget(self, engine: Engine) -> None:
-        """Forget a life of an engine that is over."""
+        """Drop the evidence on an engine incarnation that has ended."""
         self._evidence.forget(incarnation_of(engine))
         self._trials.pop(incarnation_of(engine), None)
 
     def summary(self) -> dict[str, object]:
-        """Show standings with their evidence, for the state dump."""
+        """Return the engines' health with its evidence, for the state dump."""
         now = clock.uptime()
-        found = self.monitor.all(now)
+        assessments = self.monitor.assess_all(now)
         return {
-            life.engine: {
-                'born': life.born,
-                'standing': one.standing.value,
-                'score': round(one.score, 2),
-                'good': one.good,
-                'good_needed': one.good_needed,
-                'tries': self._holder(life, one, now),
+            incarnation.engine: {
+                'born': incarnation.born,
+                'standing': assessment.state.value,
+                'score': round(assessment.score, 2),
+                'good': assessment.good,
+                'good_needed': assessment.good_needed,
+                'tries': self._assigned_node(incarnation, assessment, now),
                 'evidence': [
-                    codec.write(life, testimony, now)
-                    for testimony in self._evidence.cases[life].values()
+                    codec.encode(incarnation, observation, now)
+                    for observation in self._evidence.observations[
+                        incarnation
+                    ].values()
                 ],
             }
-            for life, one in found.items()
-            if life in self._evidence.cases
+            for incarnation, assessment in assessments.items()
+            if incarnation in self._evidence.observations
         }
 
     def _may_try(self, view: EngineView) -> bool:
-        """Tell whether a trial is due, and this process has the turn."""
+        """Return whether a trial is due, and it is this process's turn."""
         now = clock.uptime()
-        found = self.finding(view.engine)
-        if found.standing is not HealthState.ON_TRIAL:
+        assessment = self.assess(view.engine)
+        if assessment.state is not HealthState.ON_TRIAL:
             return False
-        life = incarnation_of(view.engine)
-        if now - self._trials.get(life, -_TRIAL_SECONDS) < _TRIAL_SECONDS:
+        incarnation = incarnation_of(view.engine)
+        if (
+            now - self._trials.get(incarnation, -_TRIAL_TIMEOUT_SECONDS)
+            < _TRIAL_TIMEOUT_SECONDS
+        ):
             return False
-        return self._holder(life, found, now) == self._seat.node
+        return (
+            self._assigned_node(incarnation, assessment, now)
+            == self._local_node.node
+        )
 
-    def _holder(
-        self, life: EngineIncarnation, found: HealthAssessment, now: float
+    def _assigned_node(
+        self,
+        incarnation: EngineIncarnation,
+        assessment: HealthAssessment,
+        now: float,
     ) -> str | None:
-        if not found.out_of_rotation:
+        if not assessment.out_of_rotation:
             return None
-        return self._turns.holder(life, now - found.try_at, now)
+        return self._schedule.assigned_node(
+            incarnation, now - assessment.next_trial_at, now
+        )
 
-    def _alone(self) -> Sequence[TrialNode]:
-        return (TrialNode(self._seat.node),)
+    def _only_this_node(self) -> Sequence[TrialNode]:
+        return (TrialNode(self._local_node.node),)
 
-    def _pass_over(self, told: EngineEvidence, reason: str) -> None:
+    def _log_unusable(self, message: EngineEvidence, reason: str) -> None:
         self._log.event(
             'evidence-unusable',
-            engine=told.engine,
-            witness=told.witness,
+            engine=message.engine,
+            witness=message.witness,
             reason=reason,
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/trial.py
@@ -1,12 +1,12 @@
-"""Whose turn it is to try an engine that was left alone.
+"""Turns of processes to send a trial request to an ejected engine.
 
-Load pattern: an engine that fails all it gets, and many processes that would
-all try it again after the same pause. One at a time does, and the turn passes
-on where whoever has it has nothing that can bear the loss.
+Only the process whose turn it is sends a trial, so that a failing engine costs
+one request at a time. The turn passes on if that process has no request that
+can be retried.
 
-Each process ranks all of them by a hash over the engine's life, owners with
-items first, since an item may run again. No message is needed: those that
-differ on who is there try twice at worst.
+Each process ranks all of them by a hash over the engine's incarnation, owners
+with items first, since items can be retried. No messages are needed: processes
+with different views of the fleet send two trials at worst.
 """
 
 from collections.abc import Callable, Sequence
@@ -17,45 +17,45 @@
 from bendlead_gateway._health.observation import EngineIncarnation
 from bendlead_gateway.types import NodeName
 
-#: How long a process has the turn (s): an entry gets a request that may be
-#: repeated within it, and news of the last trial arrive.
+#: Length of a turn: time for an entry to get a request that can be retried, and
+#: for the outcome of the previous trial to arrive.
 TURN_SECONDS = 0.4
-#: Who is there is looked up this often (s); ranking hundreds takes a while.
-_LOOK_SECONDS = 0.2
+#: Interval between updates of the ranking.
+_REFRESH_SECONDS = 0.2
 _DIGEST_BYTES = 8
 
 
 class TrialNode(Struct, frozen=True):
-    """Say which process could try engines, and whether it has items to run."""
+    """Process that may send trials, and whether it has items to run."""
 
     node: NodeName
     items: bool = False
 
 
-#: Lists the processes heard, this one too, that could try an engine.
+#: Returns the known processes that may send trials, including this one.
 ListTrialNodes = Callable[[], Sequence[TrialNode]]
 
 
 class TrialSchedule:
-    """Remember the ranks of a moment; steady seconds come in."""
+    """Which process may send trials to which engine, by monotonic time."""
 
-    def __init__(self, list_triers: ListTrialNodes) -> None:
-        self._list_triers = list_triers
-        self._triers: Sequence[TrialNode] = ()
+    def __init__(self, list_trial_nodes: ListTrialNodes) -> None:
+        self._list_trial_nodes = list_trial_nodes
+        self._trial_nodes: Sequence[TrialNode] = ()
         self._ranked: dict[EngineIncarnation, Sequence[TrialNode]] = {}
-        self._looked_at = -_LOOK_SECONDS
+        self._refreshed_at = -_REFRESH_SECONDS
 
-    def holder(
-        self, life: EngineIncarnation, waited: float, now: float
+    def assigned_node(
+        self, incarnation: EngineIncarnation, waited: float, now: float
     ) -> NodeName | None:
-        """Name whose turn it is, some seconds after a trial was due."""
-        if now - self._looked_at >= _LOOK_SECONDS:
-            self._looked_at = now
-            self._triers = self._list_triers()
+        """Return whose turn it is ``waited`` seconds after a trial was due."""
+        if now - self._refreshed_at >= _REFRESH_SECONDS:
+            self._refreshed_at = now
+            self._trial_nodes = self._list_trial_nodes()
             self._ranked.clear()
-        if life not in self._ranked:
-            self._ranked[life] = rank(life, self._triers)
-        ranked = self._ranked[life]
+        if incarnation not in self._ranked:
+            self._ranked[incarnation] = rank(incarnation, self._trial_nodes)
+        ranked = self._ranked[incarnation]
         if not ranked:
             return None
         turn = int(max(0, waited) / TURN_SECONDS)
@@ -63,14 +63,16 @@
 
 
 def rank(
-    life: EngineIncarnation, triers: Sequence[TrialNode]
+    incarnation: EngineIncarnation, trial_nodes: Sequence[TrialNode]
 ) -> Sequence[TrialNode]:
-    """Rank processes for one life, all alike."""
-    return sorted(triers, key=lambda one: _rank(life, one))
+    """Sort processes for one incarnation, in the same order everywhere."""
+    return sorted(trial_nodes, key=lambda node: _rank(incarnation, node))
 
 
-def _rank(life: EngineIncarnation, one: TrialNode) -> tuple[bool, bytes]:
-    named = f'{life.engine}/{life.born}/{one.node}'
-    return not one.items, blake2b(
-        named.encode(), digest_size=_DIGEST_BYTES
+def _rank(
+    incarnation: EngineIncarnation, trial_node: TrialNode
+) -> tuple[bool, bytes]:
+    name = f'{incarnation.engine}/{incarnation.born}/{trial_node.node}'
+    return not trial_node.items, blake2b(
+        name.encode(), digest_size=_DIGEST_BYTES
     ).digest()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -135,7 +135,7 @@
         if answer.closing:
             connection.keep_no_longer()
         if head.status == HTTPStatus.OK:
-            self._fleet.shared_health.answered(
+            self._fleet.shared_health.record_success(
                 run.engine, run.sent_at, lambda: run.digest
             )
             self._read_events(run, connection, head)
@@ -149,7 +149,7 @@
             run.postpone()
             if answer.misdirected:
                 self._fleet.health.failed(run.engine.engine, unreachable=True)
-                self._fleet.shared_health.failed(
+                self._fleet.shared_health.record_failure(
                     run.engine, FailureKind.REFUSED, None
                 )
             return None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -143,7 +143,7 @@
 
     def _report_silence(self, run: ItemRun) -> None:
         """Report the engine to the fleet, so that the item goes elsewhere."""
-        self._fleet.shared_health.failed(
+        self._fleet.shared_health.record_failure(
             run.engine, FailureKind.SILENT, run.digest
         )
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -245,7 +245,7 @@
         elif isinstance(error, RunFailedError) and error.status:
             kind = classify_status(error.status)
         digest = run.digest if run.sent_at else None
-        self._fleet.shared_health.failed(run.engine, kind, digest)
+        self._fleet.shared_health.record_failure(run.engine, kind, digest)
 
     def _finish(
         self,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -96,7 +96,7 @@
         self.store.route.peers = self.peers.processes.reaching_store
         self.peers.suspects = self.fleet.suspects
         self.peers.shared_health = self.fleet.shared_health
-        self.fleet.shared_health.meet(
+        self.fleet.shared_health.configure_peers(
             self.peers.processes.triers, self.peers.processes.halls
         )
         self.peers_watch = self.fleet.watcher(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -97,7 +97,7 @@
                 self._fleet.suspects.ends.refused(engine)
             paused = self._health.failed(engine.engine, unreachable=True)
             self._log_failure(engine, Step.CONNECT, error, paused)
-            self._shared.failed(engine, classify_error(error), None)
+            self._shared.record_failure(engine, classify_error(error), None)
             raise UnreachableError(f'connect: {error}') from error
 
     def _run(
@@ -114,7 +114,7 @@
             self._read_refusal(connection, head)
             if answer.misdirected:
                 self._health.failed(engine.engine, unreachable=True)
-                self._shared.failed(engine, FailureKind.REFUSED, None)
+                self._shared.record_failure(engine, FailureKind.REFUSED, None)
             raise NotRunError(
                 f'engine responded with status {head.status}, request not run'
             )
@@ -124,14 +124,14 @@
                 engine, Step.HEAD, f'status {head.status}', paused
             )
             kind = classify_status(head.status)
-            self._shared.failed(engine, kind, exchange.digest)
+            self._shared.record_failure(engine, kind, exchange.digest)
             if exchange.may_fail_over:
                 connection.keep_no_longer()
                 raise UnknownOutcomeError(
                     f'engine responded with status {head.status}'
                 )
         else:
-            self._shared.answered(
+            self._shared.record_success(
                 engine, exchange.sent_at, lambda: exchange.digest
             )
         self._relay(exchange, engine, connection, head)
@@ -164,7 +164,7 @@
             kind = classify_missing_response(
                 error, replaced=timeout is not None
             )
-            self._shared.failed(engine, kind, exchange.digest)
+            self._shared.record_failure(engine, kind, exchange.digest)
             self._report_broken(exchange, engine, answered=False)
             raise UnknownOutcomeError(f'no answer: {error}') from error
         finally:
@@ -247,7 +247,7 @@
             silent = isinstance(broken.__cause__, SilentPeerError)
             paused = self._health.failed(engine.engine, unreachable=silent)
             self._log_failure(engine, Step.BODY, broken, paused)
-            self._shared.failed(
+            self._shared.record_failure(
                 engine,
                 FailureKind.SILENT if silent else FailureKind.BROKEN,
                 exchange.digest,
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -1,8 +1,8 @@
-"""Replay engines that fail, and entries that learn of it, in simulated time.
+"""Simulate failing engines, and how entries detect and avoid them.
 
-Requests that may be sent once and some that may be repeated are placed by the
-real placement; what is known of engines, and who tries one again, is the real
-code too. Failures, loads and testimonies reach others some time later.
+Placement, health assessment and the schedule of trials are the production
+code, in simulated time. Load counts and observations reach other processes
+after a delay.
 """
 
 import enum
@@ -23,7 +23,7 @@
     FailureKind,
     incarnation_of,
 )
-from bendlead_gateway._health.preference import preferred
+from bendlead_gateway._health.preference import prefer_trusted
 from bendlead_gateway._health.trial import TrialNode, TrialSchedule, rank
 from bendlead_gateway._scheduling.placement import Traffic, choose
 from bendlead_gateway._scheduling.view import EngineView
@@ -37,107 +37,108 @@
 )
 from msgspec import Struct, field
 
-#: Engines fail from the begin on for so long (s), within a load of so long.
-BEGIN = 5.0
+#: Start and length of the failure within the load.
+BEGIN_SECONDS = 5.0
 FAILING_SECONDS = 10.0
-_SECONDS = 20.0
+_LOAD_SECONDS = 20.0
 _RUN_SECONDS = 0.7
-_FIRST_EVENT = 0.05
-#: Who may ask elsewhere gives up a silent engine sooner than who may not (s).
-_SILENCE_SECONDS = (0.2, 2.0)
-_FLAP_SECONDS = 2.0
-_TRIAL_SECONDS = 1.5
-_LOOK_SECONDS = 0.25
-_OWNER_SECONDS = 0.05
+_FIRST_EVENT_SECONDS = 0.05
+#: Timeout for a silent engine, if the request can be retried and if not.
+_SILENCE_TIMEOUT_SECONDS = (0.2, 2.0)
+_FLAP_PERIOD_SECONDS = 2.0
+_TRIAL_TIMEOUT_SECONDS = 1.5
+_SAMPLE_SECONDS = 0.25
+_OWNER_POLL_SECONDS = 0.05
 _HALLS = 4
-_PLACES = 8
+_SLOTS = 8
 
 
-class Way(enum.Enum):
-    """Name a way in which entries learn of failures."""
+class DetectionMode(enum.Enum):
+    """How entries detect failing engines."""
 
-    ALONE = 'each alone'
-    COUNTS = 'shared counts'
-    WITNESSES = 'by witness'
-    PROBER = 'one prober a hall'
+    LOCAL = 'each alone'
+    UNWEIGHTED = 'shared counts'
+    SHARED = 'by witness'
+    HALL_PROBER = 'one prober a hall'
 
 
 class Fault(enum.Enum):
-    """Name how engines fail."""
+    """How engines, or a link, fail."""
 
-    LYING = 'lying'
+    FAST_ERRORS = 'lying'
     FLAPPING = 'flapping'
-    GREY = 'grey'
+    PARTIAL = 'grey'
     RESETTING = 'resetting'
-    DARK = 'dark'
+    UNRESPONSIVE = 'dark'
     ONE_HALL = 'one hall only'
-    #: No engine fails: an entry's link does.
-    WITNESS = 'a bad witness'
+    #: The link of one entry fails, and no engine.
+    BAD_OBSERVER = 'a bad witness'
 
 
 class HealthLoad(Struct, frozen=True):
-    """Say what fails, and what is asked; rates are a second."""
+    """Fault and request load; rates are per second."""
 
     fault: Fault
     entries: int = 20
     engines: int = 40
     failing: int = 6
-    #: Part of its requests that a grey engine fails.
+    #: Share of its requests that a failing engine fails.
     share: float = 1.0
     rate: float = 190.0
     repeatable: float = 0.22
-    #: Whether an owner has items that may try engines.
+    #: Whether an owner has items to send as trials.
     items: bool = True
-    by_lot: bool = False
-    news: tuple[float, float] = (0.05, 0.1)
-    #: Entries that hear nothing, and are not heard, while engines fail.
-    unheard: int = 0
+    random_trials: bool = False
+    #: Bounds of the delay of updates between processes (s).
+    update_delay: tuple[float, float] = (0.05, 0.1)
+    #: Entries cut off from all other processes while engines fail.
+    isolated: int = 0
 
 
 class HealthOutcome(Struct):
-    """Count what was lost, and what was left alone for nothing."""
+    """Lost requests, trials, and good engines ejected or doubted."""
 
-    asked: int = 0
+    sent: int = 0
     lost: int = 0
-    #: Engine-seconds of good engines, means over the entries.
-    wrongly_alone: float = 0
+    #: Engine-seconds of good engines, averaged over the entries.
+    wrongly_ejected: float = 0
     wrongly_doubted: float = 0
     trials: int = 0
-    #: Trials begun while another one of the same engine had no outcome.
-    trials_at_once: int = 0
+    #: Trials started while another trial of the engine was running.
+    concurrent_trials: int = 0
 
 
-class _Counting(HealthEvaluator):
-    """Take what anybody says for as much as what was seen here."""
+class _UnweightedEvaluator(HealthEvaluator):
+    """Count observations of peers like those of this process."""
 
-    def weight(self, _one):
+    def weight(self, _decayed):
         return 1
 
-    def find_distrusted(self):
+    def find_unreliable(self):
         return set()
 
 
-class _Probed(_Counting):
-    """Take the word of one process in each hall."""
+class _HallProberEvaluator(_UnweightedEvaluator):
+    """Count the observations of one process in each hall."""
 
-    def credible(self, life):
-        own = self._seat
+    def reliable_observations(self, incarnation):
+        own = self._local_node
         near = [
             TrialNode(node)
             for node, hall in self._halls.items()
             if hall == own.hall
         ]
-        prober = rank(life, near)[0].node if near else None
-        for witness, one in self._cases[life].items():
-            if witness in {own.node, prober}:
-                yield one
+        prober = rank(incarnation, near)[0].node if near else None
+        for observer, decayed in self._observations[incarnation].items():
+            if observer in {own.node, prober}:
+                yield decayed
 
 
-_JUDGES = {
-    Way.ALONE: HealthEvaluator,
-    Way.COUNTS: _Counting,
-    Way.WITNESSES: HealthEvaluator,
-    Way.PROBER: _Probed,
+_EVALUATORS = {
+    DetectionMode.LOCAL: HealthEvaluator,
+    DetectionMode.UNWEIGHTED: _UnweightedEvaluator,
+    DetectionMode.SHARED: HealthEvaluator,
+    DetectionMode.HALL_PROBER: _HallProberEvaluator,
 }
 
 
@@ -148,12 +149,12 @@
 
     @property
     def once(self) -> bool:
-        """Tell whether its next failure is the last."""
+        """Whether the request is lost at the next failure."""
         return not self.repeatable or self.tries > 0
 
 
 class _Process:
-    """Be one entry, or the owner."""
+    """One entry, or the owner."""
 
     def __init__(self, number: int, replay: 'HealthReplay') -> None:
         self.number = number
@@ -166,18 +167,20 @@
             self.evidence,
             lambda: replay.engines,
             SimpleNamespace(event=lambda *_kind, **_fields: None),
-            _JUDGES[replay.way],
+            _EVALUATORS[replay.mode],
         )
         self.monitor.list_halls = lambda: replay.halls
-        self.trying: dict[EngineIncarnation, float] = {}
+        self.trials: dict[EngineIncarnation, float] = {}
 
 
 class HealthReplay:
-    """Play one load with one way."""
+    """Simulation of one load with one detection mode."""
 
-    def __init__(self, load: HealthLoad, way: Way, seed: int) -> None:
+    def __init__(
+        self, load: HealthLoad, mode: DetectionMode, seed: int
+    ) -> None:
         self.load = load
-        self.way = way
+        self.mode = mode
         self.outcome = HealthOutcome()
         self.engines = [
             Engine(
@@ -185,128 +188,135 @@
                 ServiceName('s1'),
                 '',
                 DataHall(f'hall-{at % _HALLS}'),
-                _PLACES,
+                _SLOTS,
                 EngineState.READY,
             )
             for at in range(load.engines)
         ]
-        self._chance = Random(seed)
+        self._random = Random(seed)
         self._now = 0.0
-        self._moments: list[tuple[float, int, Callable[[], None]]] = []
-        self._count = 0
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._event_count = 0
         self._running: Counter[EngineId] = Counter()
-        self._known: Counter[EngineId] = Counter()
-        self._tries: Counter[EngineIncarnation] = Counter()
-        self._bad = frozenset(
-            one.engine for one in self.engines[: load.failing]
+        self._known_load: Counter[EngineId] = Counter()
+        self._running_trials: Counter[EngineIncarnation] = Counter()
+        self._failing = frozenset(
+            engine.engine for engine in self.engines[: load.failing]
         )
         self._owner = _Process(load.entries, self)
         self._entries = [_Process(at, self) for at in range(load.entries)]
-        everyone = (*self._entries, self._owner)
-        self.halls = {one.node: one.hall for one in everyone}
-        self._triers = [TrialNode(one.node) for one in self._entries]
+        processes = (*self._entries, self._owner)
+        self.halls = {process.node: process.hall for process in processes}
+        self._trial_nodes = [TrialNode(entry.node) for entry in self._entries]
         if load.items:
-            self._triers.append(TrialNode(self._owner.node, items=True))
-        self._turns = TrialSchedule(lambda: self._triers)
+            self._trial_nodes.append(TrialNode(self._owner.node, items=True))
+        self._schedule = TrialSchedule(lambda: self._trial_nodes)
 
     def play(self) -> HealthOutcome:
-        """Play the load to its end."""
+        """Run the load to its end and return the outcome."""
         clock = SimpleNamespace(uptime=lambda: self._now)
         with mock.patch.object(health, 'clock', clock):
             self._after(0, self._arrive)
-            self._after(0, self._look)
+            self._after(0, self._sample)
             if self.load.items:
                 self._after(0, self._run_items)
-            while self._moments:
-                self._now, _order, act = heapq.heappop(self._moments)
-                act()
+            while self._events:
+                self._now, _order, action = heapq.heappop(self._events)
+                action()
         return self.outcome
 
-    def _after(self, seconds: float, act: Callable[[], None]) -> None:
-        self._count += 1
-        moment = self._now + seconds
-        heapq.heappush(self._moments, (moment, self._count, act))
+    def _after(self, seconds: float, action: Callable[[], None]) -> None:
+        self._event_count += 1
+        at = self._now + seconds
+        heapq.heappush(self._events, (at, self._event_count, action))
 
     @property
-    def _faulty(self) -> bool:
-        return BEGIN <= self._now < BEGIN + FAILING_SECONDS
+    def _fault_active(self) -> bool:
+        return BEGIN_SECONDS <= self._now < BEGIN_SECONDS + FAILING_SECONDS
 
     def _arrive(self) -> None:
-        if self._now < _SECONDS:
-            self._after(self._chance.expovariate(self.load.rate), self._arrive)
-        self.outcome.asked += 1
-        entry = self._chance.choice(self._entries)
-        repeatable = self._chance.random() < self.load.repeatable
+        if self._now < _LOAD_SECONDS:
+            self._after(self._random.expovariate(self.load.rate), self._arrive)
+        self.outcome.sent += 1
+        entry = self._random.choice(self._entries)
+        repeatable = self._random.random() < self.load.repeatable
         self._send(entry, _Request(repeatable))
 
     def _send(self, entry: _Process, request: _Request) -> None:
         views = [
-            self._view(entry, one)
-            for one in self.engines
-            if one.engine not in request.tried
+            self._view(entry, engine)
+            for engine in self.engines
+            if engine.engine not in request.tried
         ]
         trial = None
-        if self.way is not Way.ALONE:
+        if self.mode is not DetectionMode.LOCAL:
             if not request.once:
-                trial = self._take_trial(entry, views)
-            views = list(preferred(views, once=request.once))
+                trial = self._start_trial(entry, views)
+            views = list(prefer_trusted(views, once=request.once))
         view = trial
         if view is None:
-            traffic = Traffic(_RUN_SECONDS, sum(self.load.news) / 2)
-            placed = choose(views, traffic, self._chance.random)
+            traffic = Traffic(_RUN_SECONDS, sum(self.load.update_delay) / 2)
+            placed = choose(views, traffic, self._random.random)
             assert placed is not None
             view = placed.view
         self._run(entry, request, view.engine)
 
     def _view(self, entry: _Process, engine: Engine) -> EngineView:
-        online = self._known[engine.engine]
+        online = self._known_load[engine.engine]
         near = engine.hall == entry.hall
-        if self.way is Way.ALONE:
+        if self.mode is DetectionMode.LOCAL:
             paused = entry.health.paused(engine.engine)
             return EngineView(engine, online, near=near, paused=paused)
-        found = entry.monitor.finding(incarnation_of(engine), self._now)
+        assessment = entry.monitor.assess(incarnation_of(engine), self._now)
         return EngineView(
             engine,
-            online + found.failed_at_once,
+            online + assessment.failure_load,
             near=near,
-            paused=found.out_of_rotation,
-            doubted=found.standing is HealthState.DOUBTED,
+            paused=assessment.out_of_rotation,
+            doubted=assessment.state is HealthState.DOUBTED,
         )
 
-    def _take_trial(
+    def _start_trial(
         self, process: _Process, views: list[EngineView]
     ) -> EngineView | None:
         for view in views:
-            life = incarnation_of(view.engine)
-            found = process.monitor.finding(life, self._now)
-            since = process.trying.get(life, -_TRIAL_SECONDS)
-            if found.standing is not HealthState.ON_TRIAL:
+            incarnation = incarnation_of(view.engine)
+            assessment = process.monitor.assess(incarnation, self._now)
+            started = process.trials.get(incarnation, -_TRIAL_TIMEOUT_SECONDS)
+            if assessment.state is not HealthState.ON_TRIAL:
                 continue
-            if self._now - since < _TRIAL_SECONDS:
+            if self._now - started < _TRIAL_TIMEOUT_SECONDS:
                 continue
-            if self._has_turn(process, life, self._now - found.try_at):
-                process.trying[life] = self._now
+            if self._has_turn(
+                process, incarnation, self._now - assessment.next_trial_at
+            ):
+                process.trials[incarnation] = self._now
                 self.outcome.trials += 1
-                self.outcome.trials_at_once += self._tries[life] > 0
-                self._tries[life] += 1
+                self.outcome.concurrent_trials += (
+                    self._running_trials[incarnation] > 0
+                )
+                self._running_trials[incarnation] += 1
                 return view
         return None
 
     def _has_turn(
-        self, process: _Process, life: EngineIncarnation, waited: float
+        self, process: _Process, incarnation: EngineIncarnation, waited: float
     ) -> bool:
-        if self.load.by_lot:
-            return self._chance.random() * len(self._triers) < 1
-        return self._turns.holder(life, waited, self._now) == process.node
+        if self.load.random_trials:
+            return self._random.random() * len(self._trial_nodes) < 1
+        return (
+            self._schedule.assigned_node(incarnation, waited, self._now)
+            == process.node
+        )
 
     def _run_items(self) -> None:
-        """Let the owner try engines with items."""
-        if self._now < _SECONDS:
-            self._after(_OWNER_SECONDS, self._run_items)
-        if self.way is Way.ALONE:
+        """Send items of the owner as trials."""
+        if self._now < _LOAD_SECONDS:
+            self._after(_OWNER_POLL_SECONDS, self._run_items)
+        if self.mode is DetectionMode.LOCAL:
             return
-        views = [self._view(self._owner, one) for one in self.engines]
-        view = self._take_trial(self._owner, views)
+        views = [self._view(self._owner, engine) for engine in self.engines]
+        view = self._start_trial(self._owner, views)
         if view is not None:
             item = _Request(repeatable=True)
             self._run(self._owner, item, view.engine, item=True)
@@ -322,21 +332,21 @@
         name = engine.engine
         began = self._now
         request.tried.add(name)
-        self._load(name, 1)
+        self._change_load(name, 1)
         fails = self._fails(process, engine)
-        takes = self._fails_after(request) if fails else _FIRST_EVENT
+        delay = self._failure_delay(request) if fails else _FIRST_EVENT_SECONDS
 
         def end() -> None:
-            self._load(name, -1)
+            self._change_load(name, -1)
 
-        def answer() -> None:
-            self._learn(process, engine, began, failed=fails)
+        def respond() -> None:
+            self._record_outcome(process, engine, began, failed=fails)
             if not fails:
-                left = _RUN_SECONDS * (0.5 + self._chance.random())
-                self._after(left, end)
+                remaining = _RUN_SECONDS * (0.5 + self._random.random())
+                self._after(remaining, end)
                 return
             end()
-            if item or self._excused(process):
+            if item or self._has_bad_link(process):
                 return
             request.tries += 1
             if request.repeatable and request.tries < 2:
@@ -344,107 +354,116 @@
             else:
                 self.outcome.lost += 1
 
-        self._after(takes, answer)
+        self._after(delay, respond)
 
-    def _load(self, name: EngineId, change: int) -> None:
-        def know() -> None:
-            self._known[name] += change
+    def _change_load(self, name: EngineId, change: int) -> None:
+        def deliver() -> None:
+            self._known_load[name] += change
 
         self._running[name] += change
-        self._after(self._chance.uniform(*self.load.news), know)
+        self._after(self._random.uniform(*self.load.update_delay), deliver)
 
-    def _excused(self, process: _Process) -> bool:
-        """Leave out what a bad link of the entry itself loses."""
-        return self.load.fault is Fault.WITNESS and process.number == 0
+    def _has_bad_link(self, process: _Process) -> bool:
+        """Return whether losses of an entry are due to its own link."""
+        return self.load.fault is Fault.BAD_OBSERVER and process.number == 0
 
     def _fails(self, process: _Process, engine: Engine) -> bool:
         load = self.load
-        if not self._faulty:
+        if not self._fault_active:
             return False
-        if load.fault is Fault.WITNESS:
+        if load.fault is Fault.BAD_OBSERVER:
             return process.number == 0
-        if engine.engine not in self._bad:
+        if engine.engine not in self._failing:
             return False
         if load.fault is Fault.ONE_HALL:
             return process.number % _HALLS == 0
         if load.fault is Fault.FLAPPING:
-            return int((self._now - BEGIN) / _FLAP_SECONDS) % 2 == 0
-        return self._chance.random() < load.share
+            return (
+                int((self._now - BEGIN_SECONDS) / _FLAP_PERIOD_SECONDS) % 2 == 0
+            )
+        return self._random.random() < load.share
 
-    def _fails_after(self, request: _Request) -> float:
-        if self.load.fault is Fault.DARK:
-            return _SILENCE_SECONDS[request.once]
+    def _failure_delay(self, request: _Request) -> float:
+        if self.load.fault is Fault.UNRESPONSIVE:
+            return _SILENCE_TIMEOUT_SECONDS[request.once]
         if self.load.fault is Fault.RESETTING:
-            return _FIRST_EVENT * 2
-        return _FIRST_EVENT / 5
+            return _FIRST_EVENT_SECONDS * 2
+        return _FIRST_EVENT_SECONDS / 5
 
-    def _learn(
+    def _record_outcome(
         self, process: _Process, engine: Engine, began: float, *, failed: bool
     ) -> None:
         name = engine.engine
-        if self.way is Way.ALONE:
+        if self.mode is DetectionMode.LOCAL:
             if failed:
                 process.health.failed(name)
             else:
                 process.health.succeeded(name)
             return
-        life = incarnation_of(engine)
-        if process.trying.pop(life, None) is not None:
-            self._tries[life] -= 1
+        incarnation = incarnation_of(engine)
+        if process.trials.pop(incarnation, None) is not None:
+            self._running_trials[incarnation] -= 1
         evidence = process.evidence
-        before = evidence.arrived
+        revision = evidence.revision
         if failed:
-            evidence.failed(life, FailureKind.ERROR, self._now, self._now)
+            evidence.record_failure(
+                incarnation, FailureKind.ERROR, self._now, self._now
+            )
             process.monitor.invalidate()
-        elif life in evidence.cases:
-            cleared = process.monitor.finding(life, self._now).cleared
-            evidence.answered(
-                life, began, self._now, self._now, cleared=cleared
+        elif incarnation in evidence.observations:
+            cleared = process.monitor.assess(incarnation, self._now).cleared
+            evidence.record_success(
+                incarnation, began, self._now, self._now, cleared=cleared
             )
-        if evidence.arrived > before:
-            self._tell(process, life)
+        if evidence.revision > revision:
+            self._send_update(process, incarnation)
 
-    def _tell(self, process: _Process, life: EngineIncarnation) -> None:
-        said = process.evidence.cases[life][process.node]
+    def _send_update(
+        self, process: _Process, incarnation: EngineIncarnation
+    ) -> None:
+        observation = process.evidence.observations[incarnation][process.node]
         for other in (*self._entries, self._owner):
-            if other is process or not self._hears(process, other):
+            if other is process or not self._linked(process, other):
                 continue
 
-            def hear(other: _Process = other) -> None:
-                other.evidence.take(life, said)
+            def deliver(other: _Process = other) -> None:
+                other.evidence.merge(incarnation, observation)
 
-            self._after(self._chance.uniform(*self.load.news), hear)
+            self._after(self._random.uniform(*self.load.update_delay), deliver)
 
-    def _hears(self, one: _Process, other: _Process) -> bool:
-        unheard = self.load.unheard
-        return not self._faulty or (
-            one.number >= unheard and other.number >= unheard
+    def _linked(self, sender: _Process, receiver: _Process) -> bool:
+        isolated = self.load.isolated
+        return not self._fault_active or (
+            sender.number >= isolated and receiver.number >= isolated
         )
 
-    def _look(self) -> None:
-        """Add up the good engines that are left alone."""
-        if self._now < _SECONDS:
-            self._after(_LOOK_SECONDS, self._look)
-        part = _LOOK_SECONDS / len(self._entries)
+    def _sample(self) -> None:
+        """Add up the good engines that are ejected or doubted."""
+        if self._now < _LOAD_SECONDS:
+            self._after(_SAMPLE_SECONDS, self._sample)
+        weight = _SAMPLE_SECONDS / len(self._entries)
         for entry in self._entries:
-            if self._excused(entry):
+            if self._has_bad_link(entry):
                 continue
             for engine in self.engines:
-                if self._ill(entry, engine):
+                if self._rightly_ejected(entry, engine):
                     continue
                 view = self._view(entry, engine)
-                self.outcome.wrongly_alone += view.paused * part
-                self.outcome.wrongly_doubted += view.doubted * part
+                self.outcome.wrongly_ejected += view.paused * weight
+                self.outcome.wrongly_doubted += view.doubted * weight
 
-    def _ill(self, entry: _Process, engine: Engine) -> bool:
-        """Tell whether an engine is rightly left alone by an entry.
+    def _rightly_ejected(self, entry: _Process, engine: Engine) -> bool:
+        """Return whether an entry is right to eject an engine.
 
-        One that has just been repaired may be left alone a moment longer.
+        A repaired engine may stay ejected for another second.
         """
-        end = BEGIN + FAILING_SECONDS
-        if not BEGIN <= self._now < end + 1 or engine.engine not in self._bad:
+        end = BEGIN_SECONDS + FAILING_SECONDS
+        if (
+            not BEGIN_SECONDS <= self._now < end + 1
+            or engine.engine not in self._failing
+        ):
             return False
-        if self.load.fault is Fault.WITNESS or self.load.share <= 0.05:
+        if self.load.fault is Fault.BAD_OBSERVER or self.load.share <= 0.05:
             return False
         if self.load.fault is Fault.ONE_HALL:
             return entry.number % _HALLS == 0
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -18,7 +18,7 @@
     Observation,
     incarnation_of,
 )
-from bendlead_gateway._health.preference import preferred
+from bendlead_gateway._health.preference import prefer_trusted
 from bendlead_gateway._health.trial import (
     TURN_SECONDS,
     TrialNode,
@@ -87,7 +87,7 @@
         """Give the standing of each engine, seen from the north."""
         listed = _engines(engines)
         cases = {
-            incarnation_of(listed[at]): {one.witness: one for one in found}
+            incarnation_of(listed[at]): {one.observer: one for one in found}
             for at, found in said.items()
         }
         seat = LocalNode(NodeName('own'), DataHall('north'))
@@ -100,8 +100,8 @@
         service = ServiceEngines.of(listed)
         judge = HealthEvaluator(seat, service, cases, halls, _NOW)
         lives = [incarnation_of(listed[at]) for at in apart]
-        found = judge.findings(lives)
-        return {at: found[incarnation_of(listed[at])].standing for at in said}
+        found = judge.assess_all(lives)
+        return {at: found[incarnation_of(listed[at])].state for at in said}
 
     @parameterized.expand(
         [
@@ -197,16 +197,16 @@
 
     def fail(self, now):
         """Note a failure here."""
-        self.table.failed(self.life, FailureKind.ERROR, now, now)
+        self.table.record_failure(self.life, FailureKind.ERROR, now, now)
 
     def answer(self, began, now, *, cleared=False):
         """Note a good answer here."""
-        self.table.answered(self.life, began, now, now, cleared=cleared)
+        self.table.record_success(self.life, began, now, now, cleared=cleared)
 
     @property
     def mine(self):
         """Give what this process found."""
-        return self.table.cases[self.life][NodeName('own')]
+        return self.table.observations[self.life][NodeName('own')]
 
     def test_requests_sent_before_the_case_say_nothing(self):
         self.fail(10)
@@ -221,7 +221,7 @@
         told = Observation(
             NodeName('other'), 10.4, 7, {FailureKind.BROKEN: 1}, failed_at=10.4
         )
-        self.assertTrue(self.table.take(self.life, told))
+        self.assertTrue(self.table.merge(self.life, told))
         self.answer(10.5, 10.6)
         self.assertEqual(1, self.mine.good)
 
@@ -230,25 +230,25 @@
             Observation(NodeName('other'), 9, version, {FailureKind.ERROR: 1})
             for version in (3, 2)
         )
-        self.assertTrue(self.table.take(self.life, newer))
-        before = self.table.arrived
-        self.assertFalse(self.table.take(self.life, older))
-        self.assertFalse(self.table.take(self.life, newer))
-        self.assertEqual(before, self.table.arrived)
+        self.assertTrue(self.table.merge(self.life, newer))
+        before = self.table.revision
+        self.assertFalse(self.table.merge(self.life, older))
+        self.assertFalse(self.table.merge(self.life, newer))
+        self.assertEqual(before, self.table.revision)
 
     def test_a_clock_set_back_loses_no_news(self):
-        self.table.failed(self.life, FailureKind.ERROR, 10, 5000)
+        self.table.record_failure(self.life, FailureKind.ERROR, 10, 5000)
         version = self.mine.version
-        self.table.failed(self.life, FailureKind.ERROR, 11, 1000)
+        self.table.record_failure(self.life, FailureKind.ERROR, 11, 1000)
         self.assertGreater(self.mine.version, version)
 
     def test_it_is_bounded_and_fades(self):
         for at in range(5000):
             life = EngineIncarnation(EngineId('i'), at)
-            self.table.failed(life, FailureKind.ERROR, 10, 10)
-        self.assertEqual(4096, len(self.table.cases))
+            self.table.record_failure(life, FailureKind.ERROR, 10, 10)
+        self.assertEqual(4096, len(self.table.observations))
         self.table.expire(30)
-        self.assertEqual(0, len(self.table.cases))
+        self.assertEqual(0, len(self.table.observations))
 
 
 class TrialTest(unittest.TestCase):
@@ -258,14 +258,14 @@
         life = EngineIncarnation(EngineId('i-0'), 1)
         triers = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
         turns = [
-            TrialSchedule(lambda: triers).holder(
+            TrialSchedule(lambda: triers).assigned_node(
                 life, TURN_SECONDS * (at + 0.5), 0
             )
             for at in range(19)
         ]
         self.assertEqual(19, len(set(turns)))
         other = TrialSchedule(lambda: list(reversed(triers)))
-        self.assertEqual(turns[0], other.holder(life, 0, 0))
+        self.assertEqual(turns[0], other.assigned_node(life, 0, 0))
 
     def test_owners_with_items_come_first(self):
         triers = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
@@ -273,12 +273,12 @@
         for at in range(20):
             life = EngineIncarnation(EngineId('i'), at)
             self.assertEqual(
-                'owner', TrialSchedule(lambda: triers).holder(life, 0, 0)
+                'owner', TrialSchedule(lambda: triers).assigned_node(life, 0, 0)
             )
 
     def test_nobody_there(self):
         life = EngineIncarnation(EngineId('i'), 1)
-        self.assertIsNone(TrialSchedule(list).holder(life, 0, 0))
+        self.assertIsNone(TrialSchedule(list).assigned_node(life, 0, 0))
 
 
 class PreferenceTest(unittest.TestCase):
@@ -297,7 +297,7 @@
             EngineView(doubted, doubted=True),
             EngineView(trusted, online=online),
         ]
-        found = preferred(views, once=once)
+        found = prefer_trusted(views, once=once)
         self.assertEqual(expected, [one.name for one in found])
 
 
@@ -383,7 +383,7 @@
         self.bad.failing = False
         listed = {one.engine: one for one in self.entry.fleet.engines.all()}
         for _failure in range(2):
-            self.entry.fleet.shared_health.failed(
+            self.entry.fleet.shared_health.record_failure(
                 listed['i-0'], FailureKind.ERROR, None
             )
 
@@ -412,7 +412,9 @@
         eventually(lambda: len(owner.fleet.engines.all()) == 2)
         listed = owner.fleet.engines.named(EngineId('i-1'))
         for _failure in range(2):
-            owner.fleet.shared_health.failed(listed, FailureKind.ERROR, None)
+            owner.fleet.shared_health.record_failure(
+                listed, FailureKind.ERROR, None
+            )
         self.assertEqual(202, self.submit(owner, job(items=6)))
         eventually(lambda: len(self.results(owner)) == 6, 12)
         names = iter(range(2, 1000))
--- a/tests/test_gateway_evidence.py
+++ b/tests/test_gateway_evidence.py
@@ -28,10 +28,10 @@
 from bendlead_platform import PlatformDialect, PlatformStore
 from bendlead_schema.gateway import EngineEvidence, NodeReport
 from bendlead_testing.health_replay import (
+    DetectionMode,
     Fault,
     HealthLoad,
     HealthReplay,
-    Way,
 )
 from parameterized import parameterized
 
@@ -97,7 +97,7 @@
             Metrics(),
         )
         halls = {NodeName(f'n-{at}'): DataHall('north') for at in range(4)}
-        made.meet(
+        made.configure_peers(
             lambda: [TrialNode(NodeName(f'n-{at}')) for at in range(4)],
             lambda: halls,
         )
@@ -106,11 +106,11 @@
     def lose(self, process, at, times=1):
         """Have requests of a process fail at an engine."""
         for _time in range(times):
-            process.failed(self.engines[at], FailureKind.ERROR, None)
+            process.record_failure(self.engines[at], FailureKind.ERROR, None)
 
     def standing(self, process, at):
         """Give how a process finds an engine to stand."""
-        return process.finding(self.engines[at]).standing
+        return process.assess(self.engines[at]).state
 
 
 class ToldTest(SharingCase):
@@ -122,26 +122,26 @@
         self.lose(one, 0)
         self.lose(two, 0)
         for process in (one, two):
-            between.hear(process.news(0)[1])
-        after, told = between.news(0)
-        far.hear(told)
+            between.receive(process.updates_after(0)[1])
+        after, told = between.updates_after(0)
+        far.receive(told)
         self.assertEqual(HealthState.EJECTED, self.standing(far, 0))
-        self.assertEqual([], between.news(after)[1])
+        self.assertEqual([], between.updates_after(after)[1])
 
     def test_what_comes_back_is_told_no_more(self):
         one, two = self.process('n-0'), self.process('n-1')
         self.lose(one, 0)
-        two.hear(one.news(0)[1])
-        before = one.arrived
-        one.hear(two.news(0)[1])
-        self.assertEqual(before, one.arrived)
+        two.receive(one.updates_after(0)[1])
+        before = one.revision
+        one.receive(two.updates_after(0)[1])
+        self.assertEqual(before, one.revision)
 
     def test_it_rests_while_nothing_changes(self):
         one = self.process('n-0')
         self.lose(one, 0)
-        after, _told = one.news(0)
+        after, _told = one.updates_after(0)
         self.now += 2
-        self.assertEqual((after, []), one.news(after))
+        self.assertEqual((after, []), one.updates_after(after))
 
     def test_a_new_life_begins_with_nothing(self):
         one = self.process('n-0')
@@ -169,20 +169,20 @@
     )
     def test_what_can_not_be_true_ends_in_a_line(self, _name, changed):
         one = self.process('n-0')
-        one.hear([EngineEvidence(**{**_GOOD, **changed})])
+        one.receive([EngineEvidence(**{**_GOOD, **changed})])
         self.assertEqual(['evidence-unusable'], self.log.kinds())
         self.assertEqual({}, one.summary())
 
     def test_nothing_filled_in(self):
         one = self.process('n-0')
-        one.hear([EngineEvidence()])
+        one.receive([EngineEvidence()])
         self.assertEqual(['evidence-unusable'], self.log.kinds())
 
     def test_kinds_of_a_newer_version_are_left_out(self):
         one = self.process('n-0')
         said = {**_GOOD, 'failures': {'haunted': 3.0, 'error': 1.0}}
-        one.hear([EngineEvidence(**said)])
-        self.assertEqual(1, one.finding(self.engines[0]).failures // 0.9)
+        one.receive([EngineEvidence(**said)])
+        self.assertEqual(1, one.assess(self.engines[0]).failures // 0.9)
 
     def test_an_older_report_is_read(self):
         body = b'{"node":"n-1","sound":true,"leaving":false}'
@@ -193,7 +193,7 @@
         """It may not speak for the process that hears it, either."""
         one = self.process('n-0')
         said = {**_GOOD, 'witness': 'n-0', 'failures': {'error': 9.0}}
-        one.hear([EngineEvidence(**said)])
+        one.receive([EngineEvidence(**said)])
         self.assertEqual(HealthState.TRUSTED, self.standing(one, 0))
 
 
@@ -205,7 +205,7 @@
         one, two, deaf = (self.process(f'n-{at}') for at in range(3))
         self.lose(one, 0, times=2)
         self.lose(two, 0)
-        deaf.hear([*one.news(0)[1], *two.news(0)[1]])
+        deaf.receive([*one.updates_after(0)[1], *two.updates_after(0)[1]])
         self.assertEqual(HealthState.EJECTED, self.standing(deaf, 0))
         for _second in range(8):
             self.now += 1
@@ -221,14 +221,14 @@
         """They know nothing, and take what failed before for news."""
         one = self.process('n-0')
         self.lose(one, 0, times=2)
-        told = one.news(0)[1]
+        told = one.updates_after(0)[1]
         restarted = self.process('n-0')
         self.assertEqual(HealthState.TRUSTED, self.standing(restarted, 0))
-        self.assertEqual((0, []), restarted.news(0))
+        self.assertEqual((0, []), restarted.updates_after(0))
         other = self.process('n-1')
-        other.hear(told)
+        other.receive(told)
         self.lose(restarted, 0, times=1)
-        other.hear(restarted.news(0)[1])
+        other.receive(restarted.updates_after(0)[1])
         self.assertEqual(HealthState.DOUBTED, self.standing(other, 0))
 
     def test_a_hall_that_is_cut_off(self):
@@ -239,12 +239,12 @@
         north = self.process('n-0')
         named = {NodeName(key): DataHall(one) for key, one in halls.items()}
         for process in (south, cut, north):
-            process.meet(lambda: [], lambda: named)
+            process.configure_peers(lambda: [], lambda: named)
         for at in range(10):
             self.lose(south, at, times=2)
             self.lose(cut, at, times=2)
         for process in (south, cut):
-            north.hear(process.news(0)[1])
+            north.receive(process.updates_after(0)[1])
         found = {self.standing(north, at) for at in range(10)}
         self.assertEqual({HealthState.TRUSTED}, found)
         found = [self.standing(south, at) for at in range(10)]
@@ -257,25 +257,27 @@
 
     @parameterized.expand(
         [
-            ('lying', HealthLoad(Fault.LYING)),
+            ('lying', HealthLoad(Fault.FAST_ERRORS)),
             ('resetting', HealthLoad(Fault.RESETTING)),
-            ('half_unheard', HealthLoad(Fault.LYING, unheard=10)),
+            ('half_unheard', HealthLoad(Fault.FAST_ERRORS, isolated=10)),
         ]
     )
     def test_few_callers_are_lost(self, _name, load):
-        alone = HealthReplay(load, Way.ALONE, 1).play()
-        shared = HealthReplay(load, Way.WITNESSES, 1).play()
+        alone = HealthReplay(load, DetectionMode.LOCAL, 1).play()
+        shared = HealthReplay(load, DetectionMode.SHARED, 1).play()
         self.assertLess(shared.lost * 4, alone.lost)
 
     def test_one_in_twenty_is_no_reason(self):
-        load = HealthLoad(Fault.GREY, share=0.05)
-        found = HealthReplay(load, Way.WITNESSES, 1).play()
+        load = HealthLoad(Fault.PARTIAL, share=0.05)
+        found = HealthReplay(load, DetectionMode.SHARED, 1).play()
         # Left alone for no more of the time than it fails of its requests.
-        self.assertLess(found.wrongly_alone, load.failing * 10 * load.share)
+        self.assertLess(found.wrongly_ejected, load.failing * 10 * load.share)
 
     def test_a_bad_link_of_one_entry_costs_no_engine(self):
-        found = HealthReplay(HealthLoad(Fault.WITNESS), Way.WITNESSES, 1).play()
-        self.assertLess(found.wrongly_alone, 0.6)
+        found = HealthReplay(
+            HealthLoad(Fault.BAD_OBSERVER), DetectionMode.SHARED, 1
+        ).play()
+        self.assertLess(found.wrongly_ejected, 0.6)
 
 
 class ReportTest(EntryCase):
