--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -46,7 +46,7 @@
 )
 
 _ERROR = b'HTTP/1.1 500 x\r\nX-Response-Seal: s1\r\nContent-Length: 0\r\n\r\n'
-_WHOLE = chunked(event(1, 'a'), headers='X-Response-Seal: s1\r\n')
+_COMPLETE = chunked(event(1, 'a'), headers='X-Response-Seal: s1\r\n')
 _HALLS = ('north', 'south')
 _NOW = 100.0
 
@@ -65,7 +65,7 @@
     ]
 
 
-def _said(
+def _observation(
     witness, failures, *, answers=0.0, good=0, ago=0.1, kind=FailureKind.ERROR
 ):
     at = _NOW - ago
@@ -80,17 +80,19 @@
     )
 
 
-class JudgeTest(unittest.TestCase):
-    """Who is trusted, by what witnesses say."""
+class EvaluatorTest(unittest.TestCase):
+    """Health states that follow from the observations of all processes."""
 
-    def judge(self, said, *, apart=(), engines=20):
-        """Give the standing of each engine, seen from the north."""
+    def assess(self, observed, *, ejected=(), engines=20):
+        """Return the state of each engine, as a process in the north has it."""
         listed = _engines(engines)
-        cases = {
-            incarnation_of(listed[at]): {one.observer: one for one in found}
-            for at, found in said.items()
+        observations = {
+            incarnation_of(listed[at]): {
+                observation.observer: observation for observation in found
+            }
+            for at, found in observed.items()
         }
-        seat = LocalNode(NodeName('own'), DataHall('north'))
+        local_node = LocalNode(NodeName('own'), DataHall('north'))
         halls = {
             NodeName('own'): DataHall('north'),
             NodeName('n-1'): DataHall('north'),
@@ -98,197 +100,223 @@
             NodeName('s-2'): DataHall('south'),
         }
         service = ServiceEngines.of(listed)
-        judge = HealthEvaluator(seat, service, cases, halls, _NOW)
-        lives = [incarnation_of(listed[at]) for at in apart]
-        found = judge.assess_all(lives)
-        return {at: found[incarnation_of(listed[at])].state for at in said}
+        evaluator = HealthEvaluator(
+            local_node, service, observations, halls, _NOW
+        )
+        incarnations = [incarnation_of(listed[at]) for at in ejected]
+        found = evaluator.assess_all(incarnations)
+        return {at: found[incarnation_of(listed[at])].state for at in observed}
 
     @parameterized.expand(
         [
-            ('one_failure', [_said('own', 1)], HealthState.DOUBTED),
-            ('two_here', [_said('own', 2)], HealthState.EJECTED),
+            ('one_failure', [_observation('own', 1)], HealthState.DOUBTED),
+            ('two_here', [_observation('own', 2)], HealthState.EJECTED),
             (
                 'two_slow_ones',
-                [_said('own', 2, kind=FailureKind.SLOW)],
+                [_observation('own', 2, kind=FailureKind.SLOW)],
                 HealthState.DOUBTED,
             ),
             (
                 'one_refused',
-                [_said('own', 1, kind=FailureKind.REFUSED)],
+                [_observation('own', 1, kind=FailureKind.REFUSED)],
                 HealthState.EJECTED,
             ),
             (
                 'two_witnesses',
-                [_said('n-1', 1), _said('s-1', 1)],
+                [_observation('n-1', 1), _observation('s-1', 1)],
                 HealthState.EJECTED,
             ),
             (
                 'one_hall_alone',
-                [_said('s-1', 1), _said('s-2', 1)],
+                [_observation('s-1', 1), _observation('s-2', 1)],
                 HealthState.DOUBTED,
             ),
-            ('one_peer_alone', [_said('n-1', 50)], HealthState.DOUBTED),
-            ('pause_over', [_said('own', 2.2, ago=0.6)], HealthState.ON_TRIAL),
-            ('long_ago', [_said('own', 2, ago=20)], HealthState.TRUSTED),
+            ('one_peer_alone', [_observation('n-1', 50)], HealthState.DOUBTED),
+            (
+                'backoff_over',
+                [_observation('own', 2.2, ago=0.6)],
+                HealthState.ON_TRIAL,
+            ),
+            ('long_ago', [_observation('own', 2, ago=20)], HealthState.TRUSTED),
             (
                 'one_in_twenty',
-                [_said('own', 2, answers=40)],
+                [_observation('own', 2, answers=40)],
                 HealthState.TRUSTED,
             ),
             (
                 'a_third_fails',
-                [_said('own', 3, answers=6)],
+                [_observation('own', 3, answers=6)],
                 HealthState.EJECTED,
             ),
             (
                 'several_good_answers',
-                [_said('own', 2, ago=1), _said('n-1', 0, answers=6, good=6)],
+                [
+                    _observation('own', 2, ago=1),
+                    _observation('n-1', 0, answers=6, good=6),
+                ],
                 HealthState.TRUSTED,
             ),
             (
                 'answers_before_the_failure',
                 [
-                    _said('own', 2),
-                    _said('n-1', 0, answers=6, good=6, ago=0.5),
+                    _observation('own', 2),
+                    _observation('n-1', 0, answers=6, good=6, ago=0.5),
                 ],
                 HealthState.DOUBTED,
             ),
         ]
     )
-    def test_standing(self, _name, said, standing):
-        self.assertEqual(standing, self.judge({0: said})[0])
+    def test_state(self, _name, observations, state):
+        self.assertEqual(state, self.assess({0: observations})[0])
 
-    def test_a_witness_with_a_bad_link_sways_nobody(self):
-        said = {
-            at: [_said('n-1', 5), _said('s-1', 0, answers=1)]
+    def test_observer_with_a_bad_link_is_ignored(self):
+        observed = {
+            at: [_observation('n-1', 5), _observation('s-1', 0, answers=1)]
             for at in range(10)
         }
-        self.assertEqual({HealthState.TRUSTED}, set(self.judge(said).values()))
+        self.assertEqual(
+            {HealthState.TRUSTED}, set(self.assess(observed).values())
+        )
 
-    def test_a_cut_between_halls_sways_no_other_hall(self):
+    def test_cut_between_halls_ejects_no_engine_elsewhere(self):
         north = range(0, 20, 2)
-        said = {at: [_said('s-1', 3), _said('s-2', 3)] for at in north}
-        said = {at: found for at, found in said.items() if at < 12}
-        self.assertEqual({HealthState.TRUSTED}, set(self.judge(said).values()))
+        observed = {
+            at: [_observation('s-1', 3), _observation('s-2', 3)] for at in north
+        }
+        observed = {at: found for at, found in observed.items() if at < 12}
+        self.assertEqual(
+            {HealthState.TRUSTED}, set(self.assess(observed).values())
+        )
 
-    def test_lying_peers_leave_few_engines_alone(self):
-        """One alone none; it raises doubts, which cost no engine its work."""
-        said = {at: [_said('n-1', 1000)] for at in range(6)}
-        self.assertEqual({HealthState.DOUBTED}, set(self.judge(said).values()))
+    def test_one_faulty_peer_ejects_no_engine(self):
+        """A single peer's failures cause no more than doubt."""
+        observed = {at: [_observation('n-1', 1000)] for at in range(6)}
+        self.assertEqual(
+            {HealthState.DOUBTED}, set(self.assess(observed).values())
+        )
 
-    def test_a_bounded_share_is_left_alone_the_worst_first(self):
-        said = {at: [_said('own', 2 + at / 10)] for at in range(20)}
-        found = self.judge(said)
-        alone = [at for at, one in found.items() if one is HealthState.EJECTED]
-        self.assertEqual(list(range(12, 20)), alone)
+    def test_bounded_share_is_ejected_worst_first(self):
+        observed = {at: [_observation('own', 2 + at / 10)] for at in range(20)}
+        found = self.assess(observed)
+        ejected = [
+            at for at, state in found.items() if state is HealthState.EJECTED
+        ]
+        self.assertEqual(list(range(12, 20)), ejected)
 
-    def test_who_was_set_apart_returns_later_than_it_left(self):
-        said = {0: [_said('own', 2, ago=4)]}
-        self.assertEqual(HealthState.DOUBTED, self.judge(said)[0])
-        self.assertEqual(HealthState.ON_TRIAL, self.judge(said, apart=[0])[0])
+    def test_return_score_is_below_eject_score(self):
+        observed = {0: [_observation('own', 2, ago=4)]}
+        self.assertEqual(HealthState.DOUBTED, self.assess(observed)[0])
+        self.assertEqual(
+            HealthState.ON_TRIAL, self.assess(observed, ejected=[0])[0]
+        )
 
 
 class EvidenceTest(unittest.TestCase):
-    """What is counted, and what of it is told."""
+    """Recording, merging and expiry of observations."""
 
     def setUp(self):
-        self.life = EngineIncarnation(EngineId('i-0'), 1)
+        self.incarnation = EngineIncarnation(EngineId('i-0'), 1)
         self.table = EvidenceTable(NodeName('own'))
 
-    def fail(self, now):
-        """Note a failure here."""
-        self.table.record_failure(self.life, FailureKind.ERROR, now, now)
+    def record_failure(self, now):
+        """Record a failure."""
+        self.table.record_failure(self.incarnation, FailureKind.ERROR, now, now)
 
-    def answer(self, began, now, *, cleared=False):
-        """Note a good answer here."""
-        self.table.record_success(self.life, began, now, now, cleared=cleared)
+    def record_success(self, began, now, *, cleared=False):
+        """Record a successful response."""
+        self.table.record_success(
+            self.incarnation, began, now, now, cleared=cleared
+        )
 
     @property
-    def mine(self):
-        """Give what this process found."""
-        return self.table.observations[self.life][NodeName('own')]
-
-    def test_requests_sent_before_the_case_say_nothing(self):
-        self.fail(10)
-        self.answer(9.9, 10.1)
-        self.assertEqual(0, self.mine.answers)
-
-    def test_a_failure_anywhere_begins_the_count_of_good_answers_anew(self):
-        self.fail(10)
-        self.answer(10.1, 10.2)
-        self.answer(10.1, 10.3)
-        self.assertEqual(2, self.mine.good)
-        told = Observation(
+    def own(self):
+        """Observation of this process."""
+        return self.table.observations[self.incarnation][NodeName('own')]
+
+    def test_success_of_request_sent_before_first_failure_is_ignored(self):
+        self.record_failure(10)
+        self.record_success(9.9, 10.1)
+        self.assertEqual(0, self.own.answers)
+
+    def test_failure_on_any_process_resets_consecutive_successes(self):
+        self.record_failure(10)
+        self.record_success(10.1, 10.2)
+        self.record_success(10.1, 10.3)
+        self.assertEqual(2, self.own.good)
+        received = Observation(
             NodeName('other'), 10.4, 7, {FailureKind.BROKEN: 1}, failed_at=10.4
         )
-        self.assertTrue(self.table.merge(self.life, told))
-        self.answer(10.5, 10.6)
-        self.assertEqual(1, self.mine.good)
+        self.assertTrue(self.table.merge(self.incarnation, received))
+        self.record_success(10.5, 10.6)
+        self.assertEqual(1, self.own.good)
 
-    def test_the_newest_of_a_witness_wins_and_passes_on_once(self):
+    def test_newest_version_wins_and_is_forwarded_once(self):
         newer, older = (
             Observation(NodeName('other'), 9, version, {FailureKind.ERROR: 1})
             for version in (3, 2)
         )
-        self.assertTrue(self.table.merge(self.life, newer))
-        before = self.table.revision
-        self.assertFalse(self.table.merge(self.life, older))
-        self.assertFalse(self.table.merge(self.life, newer))
-        self.assertEqual(before, self.table.revision)
-
-    def test_a_clock_set_back_loses_no_news(self):
-        self.table.record_failure(self.life, FailureKind.ERROR, 10, 5000)
-        version = self.mine.version
-        self.table.record_failure(self.life, FailureKind.ERROR, 11, 1000)
-        self.assertGreater(self.mine.version, version)
-
-    def test_it_is_bounded_and_fades(self):
+        self.assertTrue(self.table.merge(self.incarnation, newer))
+        revision = self.table.revision
+        self.assertFalse(self.table.merge(self.incarnation, older))
+        self.assertFalse(self.table.merge(self.incarnation, newer))
+        self.assertEqual(revision, self.table.revision)
+
+    def test_version_rises_when_the_clock_is_set_back(self):
+        self.table.record_failure(self.incarnation, FailureKind.ERROR, 10, 5000)
+        version = self.own.version
+        self.table.record_failure(self.incarnation, FailureKind.ERROR, 11, 1000)
+        self.assertGreater(self.own.version, version)
+
+    def test_size_is_bounded_and_observations_expire(self):
         for at in range(5000):
-            life = EngineIncarnation(EngineId('i'), at)
-            self.table.record_failure(life, FailureKind.ERROR, 10, 10)
+            incarnation = EngineIncarnation(EngineId('i'), at)
+            self.table.record_failure(incarnation, FailureKind.ERROR, 10, 10)
         self.assertEqual(4096, len(self.table.observations))
         self.table.expire(30)
         self.assertEqual(0, len(self.table.observations))
 
 
 class TrialTest(unittest.TestCase):
-    """One process at a time tries an engine."""
+    """Only one process at a time sends an engine a trial."""
 
-    def test_all_name_the_same_and_the_turn_passes_on(self):
-        life = EngineIncarnation(EngineId('i-0'), 1)
-        triers = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
+    def test_processes_agree_and_turns_rotate(self):
+        incarnation = EngineIncarnation(EngineId('i-0'), 1)
+        trial_nodes = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
         turns = [
-            TrialSchedule(lambda: triers).assigned_node(
-                life, TURN_SECONDS * (at + 0.5), 0
+            TrialSchedule(lambda: trial_nodes).assigned_node(
+                incarnation, TURN_SECONDS * (at + 0.5), 0
             )
             for at in range(19)
         ]
         self.assertEqual(19, len(set(turns)))
-        other = TrialSchedule(lambda: list(reversed(triers)))
-        self.assertEqual(turns[0], other.assigned_node(life, 0, 0))
+        other = TrialSchedule(lambda: list(reversed(trial_nodes)))
+        self.assertEqual(turns[0], other.assigned_node(incarnation, 0, 0))
 
     def test_owners_with_items_come_first(self):
-        triers = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
-        triers.append(TrialNode(NodeName('owner'), items=True))
+        trial_nodes = [TrialNode(NodeName(f'n-{at}')) for at in range(19)]
+        trial_nodes.append(TrialNode(NodeName('owner'), items=True))
         for at in range(20):
-            life = EngineIncarnation(EngineId('i'), at)
+            incarnation = EngineIncarnation(EngineId('i'), at)
             self.assertEqual(
-                'owner', TrialSchedule(lambda: triers).assigned_node(life, 0, 0)
+                'owner',
+                TrialSchedule(lambda: trial_nodes).assigned_node(
+                    incarnation, 0, 0
+                ),
             )
 
-    def test_nobody_there(self):
-        life = EngineIncarnation(EngineId('i'), 1)
-        self.assertIsNone(TrialSchedule(list).assigned_node(life, 0, 0))
+    def test_no_processes(self):
+        incarnation = EngineIncarnation(EngineId('i'), 1)
+        self.assertIsNone(TrialSchedule(list).assigned_node(incarnation, 0, 0))
 
 
 class PreferenceTest(unittest.TestCase):
-    """What may be sent once goes to trusted engines while they have room."""
+    """Requests without retry avoid doubted engines while others have slots."""
 
     @parameterized.expand(
         [
-            ('room', True, 2, ['i-1']),
-            ('no_room', True, 8, ['i-0', 'i-1']),
-            ('may_be_repeated', False, 2, ['i-0', 'i-1']),
+            ('free_slots', True, 2, ['i-1']),
+            ('no_free_slots', True, 8, ['i-0', 'i-1']),
+            ('retryable', False, 2, ['i-0', 'i-1']),
         ]
     )
     def test_preferred(self, _name, once, online, expected):
@@ -298,66 +326,66 @@
             EngineView(trusted, online=online),
         ]
         found = prefer_trusted(views, once=once)
-        self.assertEqual(expected, [one.name for one in found])
+        self.assertEqual(expected, [view.name for view in found])
 
 
 class FailingEngine:
-    """Answer every request, with a failure while it is told to fail."""
+    """Engine that answers every request, with a 500 while ``failing``."""
 
     def __init__(self, *, failing=True):
         self.failing = failing
-        self.asked = 0
+        self.requests = 0
         self._server = StreamServer(('127.0.0.1', 0), self._serve)
         self._server.start()
         self.address = f'127.0.0.1:{self._server.server_port}'
 
     def close(self):
-        """Stop answering."""
+        """Stop the server."""
         self._server.stop(timeout=0)
 
     def _serve(self, sock, _peer):
         with sock:
             while read_request_body(sock):
-                self.asked += 1
-                sock.sendall(_ERROR if self.failing else _WHOLE)
+                self.requests += 1
+                sock.sendall(_ERROR if self.failing else _COMPLETE)
 
 
 class OnlineTest(EntryCase):
-    """An entry beside an engine that fails all it gets, and a good one."""
+    """An entry with one engine that fails all requests, and a good one."""
 
-    def begin(self, kind, **changed):
+    def start_all(self, kind, **changed):
         """Start both engines and the entry."""
         self.bad = FailingEngine()
         self.good = FailingEngine(failing=False)
-        for name, one in (('i-0', self.bad), ('i-1', self.good)):
-            self.addCleanup(one.close)
-            self.store.set('servers', name, engine(one.address))
+        for name, server in (('i-0', self.bad), ('i-1', self.good)):
+            self.addCleanup(server.close)
+            self.store.set('servers', name, engine(server.address))
         made = route(kind, **changed)
         self.start(made, others=2)
 
     def lines(self, kind):
-        """Give the lines of a kind."""
+        """Return the log lines of an event."""
         recent = self.entry.log.recent
-        return '\n'.join(one for one in recent if f'event={kind} ' in one)
+        return '\n'.join(line for line in recent if f'event={kind} ' in line)
 
     def ask_all(self, count):
-        """Send requests one by one and give their statuses."""
+        """Send requests in sequence and return their statuses."""
         return [
             self.read(self.ask(f'/x/{uuid4()}'))[0].status
             for _at in range(count)
         ]
 
-    def test_once_only_requests_meet_a_failing_engine_once(self):
-        """By itself an entry would lose one more after each pause."""
-        self.begin('streaming', max_attempts=1)
+    def test_only_one_request_without_retry_fails(self):
+        """Trials after each backoff use only requests that can be retried."""
+        self.start_all('streaming', max_attempts=1)
         statuses = []
         for _round in range(8):
             statuses.extend(self.ask_all(5))
             gevent.sleep(0.2)
         self.assertLessEqual(statuses.count(500), 1)
 
-    def test_each_failure_and_each_change_of_standing_writes_a_line(self):
-        self.begin('unsafe', max_attempts=1)
+    def test_failures_and_state_changes_are_logged(self):
+        self.start_all('unsafe', max_attempts=1)
         self.good.failing = True
         self.ask_all(9)
         self.entry.fleet.shared_health.summary()
@@ -365,23 +393,25 @@
         self.assertIn('standing=doubted', self.lines('engine-standing'))
         self.assertIn('standing=on-trial', self.lines('engine-standing'))
 
-    def test_a_request_that_fails_elsewhere_too_counts_once(self):
-        self.begin('safe', max_attempts=3)
+    def test_request_that_fails_on_two_engines_counts_once(self):
+        self.start_all('safe', max_attempts=3)
         self.good.failing = True
         self.ask_all(1)
         self.assertEqual(1, len(self.entry.fleet.shared_health.summary()))
         self.assertTrue(self.lines('failure-of-request'))
 
-    def test_refused_goes_on_though_it_may_be_sent_once(self):
-        """A connection that did not come up has surely run nothing."""
-        self.begin('streaming', max_attempts=1)
+    def test_refused_connection_is_retried_for_any_request(self):
+        """A request whose connection was refused can't have started."""
+        self.start_all('streaming', max_attempts=1)
         self.bad.close()
         self.assertEqual([200] * 6, self.ask_all(6))
 
-    def test_repeatable_requests_try_it_until_it_is_trusted_again(self):
-        self.begin('streaming', max_attempts=3, resumable=True)
+    def test_retryable_requests_are_trials_until_engine_is_trusted(self):
+        self.start_all('streaming', max_attempts=3, resumable=True)
         self.bad.failing = False
-        listed = {one.engine: one for one in self.entry.fleet.engines.all()}
+        listed = {
+            known.engine: known for known in self.entry.fleet.engines.all()
+        }
         for _failure in range(2):
             self.entry.fleet.shared_health.record_failure(
                 listed['i-0'], FailureKind.ERROR, None
@@ -392,18 +422,18 @@
             return 'standing=trusted' in self.lines('engine-standing')
 
         eventually(trusted, 8)
-        # What failed before takes no place of a trusted engine.
+        # Earlier failures occupy no slot of a trusted engine.
         shown = self.entry.fleet.balancer.view(listed['i-0'])
         self.assertEqual(8, shown.free)
         self.assertIn('engine=i-0', self.lines('engine-trial'))
 
 
 class ItemTest(OwnerCase):
-    """Items try engines that are left alone."""
+    """Items as trials of ejected engines."""
 
-    def test_an_item_that_failed_nowhere_tries_it(self):
-        """A 500 counts towards the few that an item may get."""
-        self.configure(answers=[_WHOLE] * 8)
+    def test_item_without_failures_is_sent_as_trial(self):
+        """A failed trial counts towards the item's limit of attempts."""
+        self.configure(answers=[_COMPLETE] * 8)
         good = FailingEngine(failing=False)
         self.addCleanup(good.close)
         self.store.set('servers', 'i-2', engine(good.address))
@@ -420,7 +450,7 @@
         names = iter(range(2, 1000))
 
         def tried():
-            # The other engine does what there is until a trial is due.
+            # The other engine runs all items until a trial is due.
             self.call(owner, 'POST', '/x/1', job(), name=f'j{next(names)}')
             return 'event=engine-trial' in '\n'.join(owner.log.recent)
 
@@ -428,7 +458,7 @@
 
 
 def read_request_body(sock):
-    """Read one request with a length; give nothing at the end."""
+    """Read one request head; return nothing once the peer has closed."""
     received = b''
     while b'\r\n\r\n' not in received:
         part = sock.recv(65536)
--- a/tests/test_gateway_evidence.py
+++ b/tests/test_gateway_evidence.py
@@ -1,4 +1,4 @@
-"""What processes tell each other of engines that failed."""
+"""Evidence of failing engines, shared between processes."""
 
 import json
 import math
@@ -49,23 +49,23 @@
 }
 
 
-class Told:
-    """Keep the lines of a process."""
+class RecordingLog:
+    """Log that keeps its events."""
 
     def __init__(self):
         self.lines = []
 
     def event(self, kind, **fields):
-        """Take one line."""
+        """Record an event."""
         self.lines.append((kind, fields))
 
     def kinds(self):
-        """Give the kinds of the lines."""
+        """Return the names of the recorded events."""
         return [kind for kind, _fields in self.lines]
 
 
 class SharingCase(unittest.TestCase):
-    """Processes that tell each other what they find, in simulated time."""
+    """Processes that share evidence, in simulated time."""
 
     def setUp(self):
         self.now = 1000.0
@@ -74,7 +74,7 @@
         patched.start()
         self.addCleanup(patched.stop)
         self.engines = [self.engine(f'i-{at}') for at in range(10)]
-        self.log = Told()
+        self.log = RecordingLog()
 
     def engine(self, name, born=1):
         """Make an engine."""
@@ -89,7 +89,7 @@
         )
 
     def process(self, name, hall='north'):
-        """Make a process that knows the halls of three."""
+        """Make a process that knows four processes in the north."""
         made = SharedHealth(
             LocalNode(NodeName(name), DataHall(hall)),
             lambda: self.engines,
@@ -103,63 +103,63 @@
         )
         return made
 
-    def lose(self, process, at, times=1):
-        """Have requests of a process fail at an engine."""
+    def record_failures(self, process, at, times=1):
+        """Record failures of a process's requests on an engine."""
         for _time in range(times):
             process.record_failure(self.engines[at], FailureKind.ERROR, None)
 
-    def standing(self, process, at):
-        """Give how a process finds an engine to stand."""
+    def state(self, process, at):
+        """Return the health state of an engine in a process."""
         return process.assess(self.engines[at]).state
 
 
-class ToldTest(SharingCase):
-    """What one tells, and what another takes."""
+class UpdatesTest(SharingCase):
+    """Updates sent and accepted."""
 
-    def test_two_witnesses_over_a_third_process(self):
-        """Not all are linked with each other."""
-        one, two, between, far = (self.process(f'n-{at}') for at in range(4))
-        self.lose(one, 0)
-        self.lose(two, 0)
+    def test_observations_are_forwarded_by_a_third_process(self):
+        """Not every process is connected to every other."""
+        one, two, relay, far = (self.process(f'n-{at}') for at in range(4))
+        self.record_failures(one, 0)
+        self.record_failures(two, 0)
         for process in (one, two):
-            between.receive(process.updates_after(0)[1])
-        after, told = between.updates_after(0)
-        far.receive(told)
-        self.assertEqual(HealthState.EJECTED, self.standing(far, 0))
-        self.assertEqual([], between.updates_after(after)[1])
+            relay.receive(process.updates_after(0)[1])
+        revision, updates = relay.updates_after(0)
+        far.receive(updates)
+        self.assertEqual(HealthState.EJECTED, self.state(far, 0))
+        self.assertEqual([], relay.updates_after(revision)[1])
 
-    def test_what_comes_back_is_told_no_more(self):
+    def test_own_observation_from_a_peer_is_no_update(self):
         one, two = self.process('n-0'), self.process('n-1')
-        self.lose(one, 0)
+        self.record_failures(one, 0)
         two.receive(one.updates_after(0)[1])
-        before = one.revision
+        revision = one.revision
         one.receive(two.updates_after(0)[1])
-        self.assertEqual(before, one.revision)
+        self.assertEqual(revision, one.revision)
 
-    def test_it_rests_while_nothing_changes(self):
+    def test_no_updates_without_changes(self):
         one = self.process('n-0')
-        self.lose(one, 0)
-        after, _told = one.updates_after(0)
+        self.record_failures(one, 0)
+        revision, _updates = one.updates_after(0)
         self.now += 2
-        self.assertEqual((after, []), one.updates_after(after))
+        self.assertEqual((revision, []), one.updates_after(revision))
 
-    def test_a_new_life_begins_with_nothing(self):
+    def test_new_incarnation_starts_without_evidence(self):
         one = self.process('n-0')
-        self.lose(one, 0, times=4)
+        self.record_failures(one, 0, times=4)
         old = self.engines[0]
         self.engines[0] = self.engine('i-0', born=2)
         one.forget(old)
-        self.assertEqual(HealthState.TRUSTED, self.standing(one, 0))
+        self.assertEqual(HealthState.TRUSTED, self.state(one, 0))
         self.assertEqual({}, one.summary())
 
     @parameterized.expand(
         [
             ('unknown_engine', {'engine': 'i-99'}),
-            ('another_life', {'born': 2}),
+            ('another_incarnation', {'born': 2}),
             ('negative', {'failures': {'error': -1.0}}),
             ('negative_answers', {'answers': -0.1}),
             ('huge', {'failures': {'error': 1e300}}),
-            ('no_number', {'answers': math.nan}),
+            ('not_a_number', {'answers': math.nan}),
             ('negative_age', {'age_ms': -5}),
             ('huge_age', {'age_ms': 10**12}),
             ('huge_failed_age', {'failed_ms': 10**12}),
@@ -167,113 +167,113 @@
             ('no_witness', {'witness': ''}),
         ]
     )
-    def test_what_can_not_be_true_ends_in_a_line(self, _name, changed):
+    def test_invalid_evidence_is_logged(self, _name, changed):
         one = self.process('n-0')
         one.receive([EngineEvidence(**{**_GOOD, **changed})])
         self.assertEqual(['evidence-unusable'], self.log.kinds())
         self.assertEqual({}, one.summary())
 
-    def test_nothing_filled_in(self):
+    def test_empty_evidence_is_logged(self):
         one = self.process('n-0')
         one.receive([EngineEvidence()])
         self.assertEqual(['evidence-unusable'], self.log.kinds())
 
-    def test_kinds_of_a_newer_version_are_left_out(self):
+    def test_failure_kinds_of_a_newer_version_are_ignored(self):
         one = self.process('n-0')
-        said = {**_GOOD, 'failures': {'haunted': 3.0, 'error': 1.0}}
-        one.receive([EngineEvidence(**said)])
+        evidence = {**_GOOD, 'failures': {'haunted': 3.0, 'error': 1.0}}
+        one.receive([EngineEvidence(**evidence)])
         self.assertEqual(1, one.assess(self.engines[0]).failures // 0.9)
 
-    def test_an_older_report_is_read(self):
+    def test_report_of_an_older_version_is_decoded(self):
         body = b'{"node":"n-1","sound":true,"leaving":false}'
         report = msgspec.json.decode(body, type=NodeReport)
         self.assertFalse(report.evidence)
 
-    def test_a_process_that_lies_of_itself_sways_nobody(self):
-        """It may not speak for the process that hears it, either."""
+    def test_evidence_in_the_name_of_the_receiver_is_ignored(self):
+        """A faulty peer can't replace the receiver's own observations."""
         one = self.process('n-0')
-        said = {**_GOOD, 'witness': 'n-0', 'failures': {'error': 9.0}}
-        one.receive([EngineEvidence(**said)])
-        self.assertEqual(HealthState.TRUSTED, self.standing(one, 0))
+        evidence = {**_GOOD, 'witness': 'n-0', 'failures': {'error': 9.0}}
+        one.receive([EngineEvidence(**evidence)])
+        self.assertEqual(HealthState.TRUSTED, self.state(one, 0))
 
 
-class AgeTest(SharingCase):
-    """Whoever hears nothing decides as if each were alone, and no worse."""
+class IsolationTest(SharingCase):
+    """A process without updates decides by its own observations."""
 
-    def test_half_unheard_for_eight_seconds(self):
-        """Those who hear nobody may try it, and decide by themselves."""
-        one, two, deaf = (self.process(f'n-{at}') for at in range(3))
-        self.lose(one, 0, times=2)
-        self.lose(two, 0)
-        deaf.receive([*one.updates_after(0)[1], *two.updates_after(0)[1]])
-        self.assertEqual(HealthState.EJECTED, self.standing(deaf, 0))
+    def test_evidence_of_peers_expires_without_updates(self):
+        """An isolated process still ejects engines that fail for itself."""
+        one, two, isolated = (self.process(f'n-{at}') for at in range(3))
+        self.record_failures(one, 0, times=2)
+        self.record_failures(two, 0)
+        isolated.receive([*one.updates_after(0)[1], *two.updates_after(0)[1]])
+        self.assertEqual(HealthState.EJECTED, self.state(isolated, 0))
         for _second in range(8):
             self.now += 1
-            self.standing(deaf, 0)
-        self.assertNotEqual(HealthState.EJECTED, self.standing(deaf, 0))
-        self.lose(deaf, 1, times=2)
-        self.assertEqual(HealthState.EJECTED, self.standing(deaf, 1))
+            self.state(isolated, 0)
+        self.assertNotEqual(HealthState.EJECTED, self.state(isolated, 0))
+        self.record_failures(isolated, 1, times=2)
+        self.assertEqual(HealthState.EJECTED, self.state(isolated, 1))
         self.now += 30
-        self.assertEqual({}, deaf.summary())
-        self.assertEqual(HealthState.TRUSTED, self.standing(deaf, 0))
+        self.assertEqual({}, isolated.summary())
+        self.assertEqual(HealthState.TRUSTED, self.state(isolated, 0))
 
-    def test_all_restarted_at_once(self):
-        """They know nothing, and take what failed before for news."""
+    def test_restarted_processes_start_without_evidence(self):
+        """They accept a peer's earlier observations as updates."""
         one = self.process('n-0')
-        self.lose(one, 0, times=2)
-        told = one.updates_after(0)[1]
+        self.record_failures(one, 0, times=2)
+        updates = one.updates_after(0)[1]
         restarted = self.process('n-0')
-        self.assertEqual(HealthState.TRUSTED, self.standing(restarted, 0))
+        self.assertEqual(HealthState.TRUSTED, self.state(restarted, 0))
         self.assertEqual((0, []), restarted.updates_after(0))
         other = self.process('n-1')
-        other.receive(told)
-        self.lose(restarted, 0, times=1)
+        other.receive(updates)
+        self.record_failures(restarted, 0, times=1)
         other.receive(restarted.updates_after(0)[1])
-        self.assertEqual(HealthState.DOUBTED, self.standing(other, 0))
+        self.assertEqual(HealthState.DOUBTED, self.state(other, 0))
 
-    def test_a_hall_that_is_cut_off(self):
-        """Its processes leave engines beyond the cut; others go on."""
+    def test_observations_of_a_cut_off_hall_are_ignored_elsewhere(self):
+        """Its own processes eject engines, up to the bound."""
         halls = {f's-{at}': 'south' for at in range(2)}
         halls['n-0'] = 'north'
         south, cut = (self.process(name, 'south') for name in ('s-0', 's-1'))
         north = self.process('n-0')
-        named = {NodeName(key): DataHall(one) for key, one in halls.items()}
+        named = {NodeName(node): DataHall(hall) for node, hall in halls.items()}
         for process in (south, cut, north):
             process.configure_peers(lambda: [], lambda: named)
         for at in range(10):
-            self.lose(south, at, times=2)
-            self.lose(cut, at, times=2)
+            self.record_failures(south, at, times=2)
+            self.record_failures(cut, at, times=2)
         for process in (south, cut):
             north.receive(process.updates_after(0)[1])
-        found = {self.standing(north, at) for at in range(10)}
+        found = {self.state(north, at) for at in range(10)}
         self.assertEqual({HealthState.TRUSTED}, found)
-        found = [self.standing(south, at) for at in range(10)]
-        # Never all: whom should a request go to.
+        found = [self.state(south, at) for at in range(10)]
+        # The ejected share of a service is bounded.
         self.assertEqual(4, found.count(HealthState.EJECTED))
 
 
 class ReplayTest(unittest.TestCase):
-    """Callers lost for each failing engine, against each entry alone."""
+    """Simulated failures, against entries that share no evidence."""
 
     @parameterized.expand(
         [
-            ('lying', HealthLoad(Fault.FAST_ERRORS)),
+            ('fast_errors', HealthLoad(Fault.FAST_ERRORS)),
             ('resetting', HealthLoad(Fault.RESETTING)),
-            ('half_unheard', HealthLoad(Fault.FAST_ERRORS, isolated=10)),
+            ('half_isolated', HealthLoad(Fault.FAST_ERRORS, isolated=10)),
         ]
     )
-    def test_few_callers_are_lost(self, _name, load):
-        alone = HealthReplay(load, DetectionMode.LOCAL, 1).play()
+    def test_fewer_requests_are_lost(self, _name, load):
+        local = HealthReplay(load, DetectionMode.LOCAL, 1).play()
         shared = HealthReplay(load, DetectionMode.SHARED, 1).play()
-        self.assertLess(shared.lost * 4, alone.lost)
+        self.assertLess(shared.lost * 4, local.lost)
 
-    def test_one_in_twenty_is_no_reason(self):
+    def test_engine_failing_one_in_twenty_stays_in_rotation(self):
         load = HealthLoad(Fault.PARTIAL, share=0.05)
         found = HealthReplay(load, DetectionMode.SHARED, 1).play()
-        # Left alone for no more of the time than it fails of its requests.
+        # Ejected for no larger share of the time than it fails of its requests.
         self.assertLess(found.wrongly_ejected, load.failing * 10 * load.share)
 
-    def test_a_bad_link_of_one_entry_costs_no_engine(self):
+    def test_bad_link_of_one_entry_ejects_no_engine(self):
         found = HealthReplay(
             HealthLoad(Fault.BAD_OBSERVER), DetectionMode.SHARED, 1
         ).play()
@@ -281,9 +281,9 @@
 
 
 class ReportTest(EntryCase):
-    """Evidence between real processes."""
+    """Evidence exchanged between real processes."""
 
-    def test_it_goes_with_the_reports(self):
+    def test_reports_carry_evidence(self):
         self.start(route('safe'), answers=[b''])
         made = settings('entry-2', NodeRole.ENTRY, self.store.address)
         second = EntryNode(
@@ -293,7 +293,7 @@
         eventually(lambda: second.fleet.engines.all())
         self.read(self.ask())
         found = eventually(second.fleet.shared_health.summary)
-        witnesses = [one.witness for one in found['i-0']['evidence']]
+        witnesses = [record.witness for record in found['i-0']['evidence']]
         self.assertEqual(['entry-1'], witnesses)
         self.assertEqual('doubted', found['i-0']['standing'])
         state = json.loads(
