--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
@@ -80,23 +80,23 @@
     def record_success(
         self,
         incarnation: EngineIncarnation,
-        began: float,
+        sent_at: float,
         now: float,
         stamp: float,
         *,
         cleared: bool,
     ) -> None:
-        """Record a success of a request that this process sent at ``began``.
+        """Record a success of a request that this process sent.
 
         Requests sent before the first recorded failure are ignored.
         """
-        if began < self._opened_at.get(incarnation, now):
+        if sent_at < self._opened_at.get(incarnation, now):
             return
         known = self._own_observation(incarnation, now, stamp)
         previous = self._observations[incarnation].get(self._own)
         failed_at = self.latest_failure_at(incarnation)
         good = known.good if previous and previous.at > failed_at else 0
-        if began > failed_at:
+        if sent_at > failed_at:
             good += 1
         unsent = self._unsent.get(incarnation, 0) + 1
         send = not cleared or unsent >= _SUCCESSES_PER_UPDATE
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -110,12 +110,12 @@
     def record_success(
         self,
         engine: Engine,
-        began: float,
+        sent_at: float,
         digest_of: Callable[[], RequestDigest],
     ) -> None:
-        """Record the start of a good response to a request sent at ``began``.
+        """Record the start of a good response to a request.
 
-        ``began`` is a time of the monotonic clock (s).
+        ``sent_at`` is a time of the monotonic clock (s).
         """
         self._requests.record_success(digest_of)
         incarnation = incarnation_of(engine)
@@ -124,7 +124,7 @@
             cleared = self.assess(engine).cleared
             self._evidence.record_success(
                 incarnation,
-                began,
+                sent_at,
                 clock.uptime(),
                 time.time(),
                 cleared=cleared,
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -330,7 +330,7 @@
         item: bool = False,
     ) -> None:
         name = engine.engine
-        began = self._now
+        sent_at = self._now
         request.tried.add(name)
         self._change_load(name, 1)
         fails = self._fails(process, engine)
@@ -340,7 +340,7 @@
             self._change_load(name, -1)
 
         def respond() -> None:
-            self._record_outcome(process, engine, began, failed=fails)
+            self._record_outcome(process, engine, sent_at, failed=fails)
             if not fails:
                 remaining = _RUN_SECONDS * (0.5 + self._random.random())
                 self._after(remaining, end)
@@ -391,7 +391,7 @@
         return _FIRST_EVENT_SECONDS / 5
 
     def _record_outcome(
-        self, process: _Process, engine: Engine, began: float, *, failed: bool
+        self, process: _Process, engine: Engine, sent_at: float, *, failed: bool
     ) -> None:
         name = engine.engine
         if self.mode is DetectionMode.LOCAL:
@@ -413,7 +413,7 @@
         elif incarnation in evidence.observations:
             cleared = process.monitor.assess(incarnation, self._now).cleared
             evidence.record_success(
-                incarnation, began, self._now, self._now, cleared=cleared
+                incarnation, sent_at, self._now, self._now, cleared=cleared
             )
         if evidence.revision > revision:
             self._send_update(process, incarnation)
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -222,10 +222,10 @@
         """Record a failure."""
         self.table.record_failure(self.incarnation, FailureKind.ERROR, now, now)
 
-    def record_success(self, began, now, *, cleared=False):
+    def record_success(self, sent_at, now, *, cleared=False):
         """Record a successful response."""
         self.table.record_success(
-            self.incarnation, began, now, now, cleared=cleared
+            self.incarnation, sent_at, now, now, cleared=cleared
         )
 
     @property
