--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""Decide what waits, what is refused, and where requests and items run.
+"""Scheduling decisions: admission, queueing, placement and preemption.
 
-Nothing here opens a socket, starts a task, reads a clock or draws a number by
-itself: what is known comes in as typed values, and so do time and chance.
+The modules do no I/O, start no tasks and read no clock; callers pass in the
+state of the fleet, the time and a source of random numbers.
 """
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
@@ -1,8 +1,7 @@
-"""Which request is refused at once, and when its client should come back.
+"""Admission control: refuse requests that would wait too long for a slot.
 
-Load pattern: square bursts with more requests than all places can serve for
-some seconds. A queue of them would make everybody's answers late and serve no
-more requests; a client that is told early still has time to come back.
+In a burst beyond the capacity of the fleet, refusing early leaves clients time
+to retry instead of queueing requests that miss their latency target.
 """
 
 from msgspec import Struct
@@ -10,34 +9,32 @@
 from bendlead_gateway._scheduling.turns import FREE, Turn
 from bendlead_gateway._scheduling.view import Chance
 
-#: Part of the aim that waiting for a place may take; the rest is for reading
-#: the prompt, the first step and the way there and back.
+#: Share of the latency target that a request may spend waiting for a slot. The
+#: rest is for prompt processing, the first step and network latency.
 _WAIT_SHARE = 0.8
-#: The same while requests that were refused before are queued: those can't be
-#: refused again in time, a new one can.
+#: The same while retried requests are queued: a new request can still be
+#: refused in time, a retried one can't.
 _BEHIND_SHARE = 0.3
-#: Refused clients come back after the wait they were spared and a random time
-#: up to this share of the time they have left, so that they do not come back
-#: together, nor into the same burst. Their answers are late in any case; what
-#: counts is that a place is free. Clients heed no longer time.
+#: Retries are spread at random over up to this share of the client's timeout,
+#: so that refused clients do not return together or into the same burst.
 _RETURN_SHARE = 1 / 3
-#: A client that does not say how long it waits is told a time up to this (s).
+#: Range of the retry time for a client that states no timeout.
 _SPREAD_SECONDS = 0.8
-_LEAST_RETRY = 0.2
+_MIN_RETRY_SECONDS = 0.2
 
 
 class Refusal(Struct, frozen=True):
-    """Tell why a request is refused and when to come back (s)."""
+    """Reason for a refusal and the seconds after which to retry."""
 
     reason: str
     retry_after: float
 
 
 class AdmissionRequest(Struct, frozen=True):
-    """Say what a client asked for: in seconds, its aim and its patience.
+    """Latency target and client timeout of a request, in seconds.
 
-    ``turn`` says how its team stands to its share, and ``behind`` that others
-    who came back are held and go before it.
+    ``turn`` is the use its team makes of its share; ``behind`` is set while
+    queued requests take precedence over it.
     """
 
     target: float
@@ -47,9 +44,9 @@
 
     @property
     def longest_wait(self) -> float:
-        """Give the seconds that it may wait for a place and be in time.
+        """Return the longest admissible wait for a slot, in seconds.
 
-        A team over its share waits less: while others wait, they go first.
+        The wait is shorter for a team that exceeds its share.
         """
         share = _BEHIND_SHARE if self.behind else _WAIT_SHARE
         return self.target * share * self.turn.part
@@ -58,24 +55,21 @@
 def judge(
     asked: AdmissionRequest, wait: float, chance: Chance
 ) -> Refusal | None:
-    """Refuse a request whose wait (s) is too long, with a time to come back.
-
-    Nothing is given where it may go on.
-    """
+    """Return a refusal if the wait in seconds is too long, else ``None``."""
     if wait <= asked.longest_wait:
         return None
-    waits = asked.turn.over or asked.behind
-    whose = 'others go first' if waits else 'all places taken'
+    yields = asked.turn.over or asked.behind
+    cause = 'others go first' if yields else 'all slots taken'
     return Refusal(
-        f'{whose}, {wait:.3f} s to wait',
-        _return_time(asked, wait, chance),
+        f'{cause}, {wait:.3f} s to wait',
+        _retry_after(asked, wait, chance),
     )
 
 
-def _return_time(asked: AdmissionRequest, wait: float, chance: Chance) -> float:
-    """Draw when a refused client should come back (s)."""
-    first = max(_LEAST_RETRY, wait)
-    last = first + _SPREAD_SECONDS
+def _retry_after(asked: AdmissionRequest, wait: float, chance: Chance) -> float:
+    """Draw the seconds after which a refused client should retry."""
+    earliest = max(_MIN_RETRY_SECONDS, wait)
+    latest = earliest + _SPREAD_SECONDS
     if asked.patience is not None:
-        last = asked.patience * _RETURN_SHARE
-    return first + chance() * max(0, last - first)
+        latest = asked.patience * _RETURN_SHARE
+    return earliest + chance() * max(0, latest - earliest)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
@@ -1,44 +1,49 @@
-"""When a team whose jobs fill its room should come back.
+"""Retry times for teams whose batch backlog is full.
 
-Load pattern: a team that hands in more than its waiting tokens may be. Told a
-fixed time, all of its callers return together, most of them too early.
+A fixed time would make all callers of a team retry together, most of them
+before there is room.
 """
 
 import math
 
-from bendlead_gateway._scheduling.served import HALF_SECONDS, Served
+from bendlead_gateway._scheduling.served import (
+    HALF_LIFE_SECONDS,
+    DecayedTokens,
+)
 from bendlead_gateway._scheduling.view import Chance
 from bendlead_gateway.types import TeamName
 
-#: Until items of a team have been finished, its callers return after this (s).
-_UNKNOWN_SECONDS = 1.0
-#: Bounds of what a caller is told (s): nothing is finished sooner, and a rate
-#: may rise while it waits.
-_SHORTEST_SECONDS = 0.3
-_LONGEST_SECONDS = 10.0
-#: Callers are spread over this share of their time, so as not to meet again.
-_SPREAD_SHARE = 0.25
+#: Retry time while the completion rate of a team is unknown.
+_DEFAULT_SECONDS = 1.0
+#: Bounds of the retry time.
+_MIN_SECONDS = 0.3
+_MAX_SECONDS = 10.0
+#: Random part added to the retry time, as a share of it.
+_JITTER_SHARE = 0.25
 
 
 class BacklogRates:
-    """Learn how fast the waiting tokens of each team are worked off."""
+    """Rates at which the queued tokens of each team complete."""
 
     def __init__(self) -> None:
-        self._finished = Served[tuple[str, TeamName]]({})
+        self._finished = DecayedTokens[tuple[str, TeamName]]({})
 
     def finished(
         self, host: str, team: TeamName, tokens: int, now: float
     ) -> None:
-        """Count an item that no longer waits."""
+        """Record the tokens of an item that left the backlog."""
         self._finished.add((host, team), tokens, now)
 
     def seconds(
         self, host: str, team: TeamName, over: int, now: float, chance: Chance
     ) -> float:
-        """Estimate the seconds until so many tokens fewer wait."""
-        lately = self._finished.lately(now).get((host, team), 0)
-        if not lately:
-            return _UNKNOWN_SECONDS
-        rate = lately * math.log(2) / HALF_SECONDS
-        expected = min(max(over / rate, _SHORTEST_SECONDS), _LONGEST_SECONDS)
-        return expected * (1 + chance() * _SPREAD_SHARE)
+        """Estimate the seconds until ``over`` tokens of the backlog are done.
+
+        The estimate is bounded and has a random part added.
+        """
+        recent = self._finished.current(now).get((host, team), 0)
+        if not recent:
+            return _DEFAULT_SECONDS
+        rate = recent * math.log(2) / HALF_LIFE_SECONDS
+        expected = min(max(over / rate, _MIN_SECONDS), _MAX_SECONDS)
+        return expected * (1 + chance() * _JITTER_SHARE)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/estimators.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/estimators.py
@@ -1,61 +1,63 @@
-"""Estimate how load slows an engine, and whether it stalls."""
+"""Estimators of how load slows an engine down, and of stalls."""
 
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.findings import MOST_SLOWNESS
+from bendlead_gateway._scheduling.findings import MAX_SLOWNESS
 
-#: Part of the sums that is kept at each stream.
-_SLOPE_KEPT = 0.98
-#: Weight of the guess that load has no effect, in squared requests.
+#: Decay factor of the regression sums for each observed stream.
+_SLOPE_DECAY = 0.98
+#: Weight of the prior that load has no effect, in squared requests.
 _SLOPE_PRIOR = 50.0
-#: Greatest part of a step that one more request adds.
-_MOST_SLOPE = 0.2
-#: Deviations are cut to this part of the usual time.
-_FAR_OFF = 0.5
-#: An engine whose latest events take this many times their usual stalls. Half
-#: of that is forgotten within the half-life (s), since stalls end soon.
+#: Upper bound of the share of a step that one more request adds.
+_MAX_SLOPE = 0.2
+#: Relative deviations are clipped to this share of the usual time.
+_MAX_DEVIATION = 0.5
+#: An engine stalls if its latest events take this many times the usual time.
 STALL_FACTOR = 1.5
-_STALL_HALF_LIFE = 0.25
-#: Weight of the newest event.
-_STALL_NEWEST = 0.3
+#: Stalls are short, so the level decays fast.
+_STALL_HALF_LIFE_SECONDS = 0.25
+_STALL_SMOOTHING = 0.3
 
 
 class Slope(Struct):
-    """Fit how much longer a step takes for each further request there."""
+    """Regression of step time on the number of concurrent requests."""
 
     squares: float = _SLOPE_PRIOR
     products: float = 0.0
 
     @property
     def per_request(self) -> float:
-        """Give the share of a step that each further request adds."""
-        return min(max(0.0, self.products / self.squares), _MOST_SLOPE)
+        """Return the share of a step that each further request adds."""
+        return min(max(0.0, self.products / self.squares), _MAX_SLOPE)
 
     def factor(self, further: float) -> float:
-        """Give what that many requests above half of all places add."""
-        return max(_FAR_OFF, 1 + self.per_request * further)
+        """Return the step time relative to that at half of all slots.
+
+        ``further`` is the number of requests above half of the slots.
+        """
+        return max(_MAX_DEVIATION, 1 + self.per_request * further)
 
     def observe(self, excess: float, further: float) -> None:
-        """Take how much longer than usual a step took; outliers count less."""
-        bounded = min(max(-_FAR_OFF, excess), _FAR_OFF)
-        self.squares = self.squares * _SLOPE_KEPT + further * further
-        self.products = self.products * _SLOPE_KEPT + bounded * further
+        """Add a relative deviation from the usual step time, clipped."""
+        clipped = min(max(-_MAX_DEVIATION, excess), _MAX_DEVIATION)
+        self.squares = self.squares * _SLOPE_DECAY + further * further
+        self.products = self.products * _SLOPE_DECAY + clipped * further
 
 
 class Stall(Struct):
-    """Smooth how many times their usual the latest events took."""
+    """Moving average of event times relative to the usual, decaying to 1."""
 
     level: float = 1.0
     at: float = 0.0
 
     def current(self, now: float) -> float:
-        """Give the level now, which returns to 1."""
+        """Return the decayed level."""
         age = max(0.0, now - self.at)
-        return 1 + (self.level - 1) * 0.5 ** (age / _STALL_HALF_LIFE)
+        return 1 + (self.level - 1) * 0.5 ** (age / _STALL_HALF_LIFE_SECONDS)
 
     def observe(self, times: float, now: float) -> None:
-        """Take one more event."""
+        """Add the time of an event as a multiple of the usual time."""
         current = self.current(now)
-        bounded = min(times, MOST_SLOWNESS)
-        self.level = max(1.0, current + (bounded - current) * _STALL_NEWEST)
+        bounded = min(times, MAX_SLOWNESS)
+        self.level = max(1.0, current + (bounded - current) * _STALL_SMOOTHING)
         self.at = now
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
@@ -1,7 +1,6 @@
-"""In which order the items of several teams run.
+"""Fair order of batch items across teams and jobs.
 
-Load pattern: a team hands in a thousand items, and others ten each. By age
-alone the thousand go first, and the ten wait for all of them.
+By age alone, a team that submits many items would delay those of all others.
 """
 
 import heapq
@@ -10,16 +9,16 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.served import LEAST_TOKENS, Served
+from bendlead_gateway._scheduling.served import MIN_TOKENS, DecayedTokens
 from bendlead_gateway._scheduling.urgency import Urgency
 from bendlead_gateway.types import JobId, TeamName
 
-#: Jobs accepted within the same this many seconds are due alike.
-_ALIKE_SECONDS = 1.0
+#: Jobs accepted in the same interval count as equally old.
+_AGE_BUCKET_SECONDS = 1.0
 
 
 class ItemCost(Struct, frozen=True):
-    """Say whose an item is, and how much it asks of an engine."""
+    """Urgency, owner and size of a batch item."""
 
     urgency: Urgency
     team: TeamName
@@ -28,34 +27,33 @@
 
 
 class FairOrder:
-    """Take turns by team, then by job, as counted in tokens.
+    """Fair queueing by team, then by job, measured in tokens.
 
-    What an earlier run of an item had is counted with each later run anew:
-    its prompt is read again.
+    Every run of an item counts in full, since its prompt is processed again.
     """
 
     def __init__(self) -> None:
-        self._teams = Served[TeamName]({})
-        self._jobs = Served[JobId]({})
+        self._teams = DecayedTokens[TeamName]({})
+        self._jobs = DecayedTokens[JobId]({})
 
     def begin(self, turn: ItemCost, now: float) -> None:
-        """Count an item that begins."""
-        tokens = max(turn.tokens, LEAST_TOKENS)
+        """Record the start of an item run."""
+        tokens = max(turn.tokens, MIN_TOKENS)
         self._teams.add(turn.team, tokens, now)
         self._jobs.add(turn.job, tokens, now)
 
     def order(self, waiting: Sequence[ItemCost], now: float) -> Iterator[int]:
-        """Order waiting items; give their places in the sequence.
+        """Yield the indexes of waiting items in the order to run them.
 
-        Those that can still be in time go first. Of these, the next one is
-        that of the team that had least, its oldest job first; of jobs that are
-        due alike, the one that had least.
+        Items that can still meet their target go first. Among these comes the
+        team with the fewest tokens, its oldest job first; among jobs of the
+        same age, the one with the fewest tokens.
         """
         by_prospect: dict[int, list[int]] = {}
-        for number, one in enumerate(waiting):
-            by_prospect.setdefault(one.urgency.prospect, []).append(number)
-        teams = Counter(self._teams.lately(now))
-        jobs = self._jobs.lately(now)
+        for index, item in enumerate(waiting):
+            by_prospect.setdefault(item.urgency.prospect, []).append(index)
+        teams = Counter(self._teams.current(now))
+        jobs = self._jobs.current(now)
         for prospect in sorted(by_prospect):
             ranked = _rank(waiting, by_prospect[prospect], jobs)
             yield from _by_team(waiting, ranked, teams)
@@ -63,37 +61,37 @@
 
 def _rank(
     waiting: Sequence[ItemCost],
-    numbers: Sequence[int],
+    indexes: Sequence[int],
     jobs: Mapping[JobId, float],
 ) -> list[int]:
-    """Rank items, those of the oldest jobs first, of jobs alike in turn."""
-    ranks = [(*_age_and_had(waiting[one], jobs), one) for one in numbers]
+    """Sort items by job age, then by the tokens their job has had."""
+    ranks = [(*_sort_key(waiting[index], jobs), index) for index in indexes]
     return [rank[-1] for rank in sorted(ranks)]
 
 
-def _age_and_had(
-    one: ItemCost, jobs: Mapping[JobId, float]
+def _sort_key(
+    item: ItemCost, jobs: Mapping[JobId, float]
 ) -> tuple[float, float, float]:
-    accepted_at = one.urgency.accepted_at
-    alike = accepted_at // _ALIKE_SECONDS
-    return alike, jobs.get(one.job, 0), accepted_at
+    accepted_at = item.urgency.accepted_at
+    bucket = accepted_at // _AGE_BUCKET_SECONDS
+    return bucket, jobs.get(item.job, 0), accepted_at
 
 
 def _by_team(
     waiting: Sequence[ItemCost],
-    numbers: Iterable[int],
+    indexes: Iterable[int],
     teams: Counter[TeamName],
 ) -> Iterator[int]:
-    """Give the next item of whichever team had least so far."""
+    """Yield the next item of the team with the fewest tokens so far."""
     queues: dict[TeamName, deque[int]] = {}
-    for number in numbers:
-        queues.setdefault(waiting[number].team, deque()).append(number)
-    least = [(teams[team], team) for team in queues]
-    heapq.heapify(least)
-    while least:
-        _had, team = heapq.heappop(least)
-        number = queues[team].popleft()
-        teams[team] += max(waiting[number].tokens, LEAST_TOKENS)
+    for index in indexes:
+        queues.setdefault(waiting[index].team, deque()).append(index)
+    by_tokens = [(teams[team], team) for team in queues]
+    heapq.heapify(by_tokens)
+    while by_tokens:
+        _tokens, team = heapq.heappop(by_tokens)
+        index = queues[team].popleft()
+        teams[team] += max(waiting[index].tokens, MIN_TOKENS)
         if queues[team]:
-            heapq.heappush(least, (teams[team], team))
-        yield number
+            heapq.heappush(by_tokens, (teams[team], team))
+        yield index
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/findings.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/findings.py
@@ -1,4 +1,4 @@
-"""What processes find of the speed of engines, and how it compares."""
+"""Speed estimates of engines and their comparison within a service."""
 
 from collections.abc import Iterable, Mapping
 from statistics import harmonic_mean, median
@@ -7,24 +7,23 @@
 
 from bendlead_gateway.types import EngineId
 
-#: Streams by which an engine is known: most of them meet no stall.
+#: Streams after which an estimate is reliable, as most of them see no stall.
 ENOUGH_STREAMS = 7
-#: Where fewer engines of a service differ from its median than this share, or
-#: by less than this factor, all count as alike: one that turns slow for some
-#: seconds is met by its pace alone.
+#: The engines of a service count as equally fast unless at least this share of
+#: them differs from the median by more than the factor.
 _UNEVEN_SHARE = 0.2
 _UNEVEN_FACTOR = 1.3
-_LEAST_ENGINES = 3
-#: Nothing is decided from an engine that seems further off than this.
-MOST_SLOWNESS = 4.0
+_MIN_ENGINES = 3
+#: Bound of the slowness of an engine relative to the usual one.
+MAX_SLOWNESS = 4.0
 
 
 class Finding(Struct, frozen=True):
-    """Hold what one process found of one life of an engine.
+    """Speed estimate of one process for one incarnation of an engine.
 
-    ``gap`` is the time between two events (s) where half of the engine's
-    places are taken, ``streams`` how many it was seen in so far, and ``at``
-    when (s).
+    ``gap`` is the time in seconds between two events while half of the slots
+    are in use, ``streams`` the number of streams observed, and ``at`` the time
+    of the estimate in seconds.
     """
 
     gap: float
@@ -33,45 +32,45 @@
 
     @property
     def weight(self) -> int:
-        """Give how much it counts beside others."""
+        """Return the weight relative to estimates of other processes."""
         return min(self.streams, ENOUGH_STREAMS)
 
     def same(self, other: 'Finding') -> bool:
-        """Tell whether another one says the same, if later."""
+        """Return whether another estimate differs at most in its time."""
         return (self.gap, self.streams) == (other.gap, other.streams)
 
 
 def relative_slowness(
     gaps: Mapping[EngineId, float],
 ) -> Mapping[EngineId, float]:
-    """Compare engines by their times between events; nothing where alike.
+    """Return the slowness of engines, empty where they are equally fast.
 
-    The usual engine has the harmonic mean: where all places are taken alike,
-    that is the mean over the requests that the fleet runs.
+    The reference is the harmonic mean of the gaps: with equally used slots it
+    is the mean over all requests of the fleet.
     """
     known = {name: gap for name, gap in gaps.items() if gap > 0}
-    if len(known) < _LEAST_ENGINES:
+    if len(known) < _MIN_ENGINES:
         return {}
-    middle = median(known.values())
-    apart = sum(
-        max(gap, middle) > min(gap, middle) * _UNEVEN_FACTOR
+    median_gap = median(known.values())
+    deviating = sum(
+        max(gap, median_gap) > min(gap, median_gap) * _UNEVEN_FACTOR
         for gap in known.values()
     )
-    if apart < len(known) * _UNEVEN_SHARE:
+    if deviating < len(known) * _UNEVEN_SHARE:
         return {}
     usual = harmonic_mean(list(known.values()))
     return {
-        name: min(max(1 / MOST_SLOWNESS, gap / usual), MOST_SLOWNESS)
+        name: min(max(1 / MAX_SLOWNESS, gap / usual), MAX_SLOWNESS)
         for name, gap in known.items()
     }
 
 
 def weighted_median(findings: Iterable[Finding]) -> float:
-    """Give the time between events that half of the weight is below, or 0."""
-    ordered = sorted(findings, key=lambda one: one.gap)
-    half = sum(one.weight for one in ordered) / 2
-    for one in ordered:
-        half -= one.weight
-        if half <= 0:
-            return one.gap
+    """Return the weighted median of the gaps, 0 without findings."""
+    ordered = sorted(findings, key=lambda finding: finding.gap)
+    remaining = sum(finding.weight for finding in ordered) / 2
+    for finding in ordered:
+        remaining -= finding.weight
+        if remaining <= 0:
+            return finding.gap
     return 0.0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
@@ -1,31 +1,28 @@
-"""Which runs of items go on at another engine.
+"""Choice of item runs to move to another engine.
 
-Load pattern: engines that are emptied, left alone or fall silent while items
-run there. Whoever waits for the engine's end holds a place that does nothing,
-and the item loses the seconds until the loss is noticed.
+Runs on engines that drain, lose contact with the control plane or stop sending
+events are moved before the engine ends, so that no time is lost.
 """
 
 from collections.abc import Sequence
 
 from msgspec import Struct
 
-#: Events come some tens of ms apart, on slow engines a few times that; a run
-#: that had some and then none for this long (s) has stalled.
+#: Time without an event after which a run counts as stalled.
 _STALLED_SECONDS = 0.7
-#: A run that is whole within this (s) stays: a move reads its prompt again.
-_SOON_SECONDS = 1.0
-#: An engine that is left alone and still sends events goes on; one that has not
-#: for this long (s) may be lost.
+#: A run that completes within this time stays: a move repeats its prompt.
+_MIN_REMAINING_SECONDS = 1.0
+#: Time without an event after which an isolated engine may be lost.
 _QUIET_SECONDS = 0.25
-#: Where a larger share of the runs has stalled it is our link, not an engine.
-_MOST_STALLED = 0.5
+#: If a larger share of the runs has stalled, the local network is at fault.
+_MAX_STALLED_SHARE = 0.5
 
 
 class RunView(Struct, frozen=True):
-    """Say how a run does and what is known of its engine.
+    """State of an item run and of its engine.
 
-    ``left`` is how long it will run on (s), ``silent`` how long ago its last
-    event came, 0 while the first is awaited.
+    ``left`` is the estimated remaining time and ``silent`` the time since the
+    last event, both in seconds; ``silent`` is 0 before the first event.
     """
 
     left: float
@@ -35,23 +32,25 @@
 
     @property
     def stalled(self) -> bool:
-        """Tell whether its events have ceased."""
+        """Return whether the run has stopped sending events."""
         return self.silent > _STALLED_SECONDS
 
     @property
     def endangered(self) -> bool:
-        """Tell whether its engine may end before the run does."""
-        ends = self.leaving or (self.alone and self.silent > _QUIET_SECONDS)
-        return ends and self.left > _SOON_SECONDS
+        """Return whether the engine may end before the run completes."""
+        ending = self.leaving or (self.alone and self.silent > _QUIET_SECONDS)
+        return ending and self.left > _MIN_REMAINING_SECONDS
 
 
 def runs_to_move(runs: Sequence[RunView], idle: int) -> list[int]:
-    """Choose the runs to move into so many idle places, by their numbers."""
-    stalled = [at for at, one in enumerate(runs) if one.stalled]
-    if len(stalled) > max(1, len(runs) * _MOST_STALLED):
+    """Return the indexes of runs to move, at most one for each idle slot."""
+    stalled = [index for index, run in enumerate(runs) if run.stalled]
+    if len(stalled) > max(1, len(runs) * _MAX_STALLED_SHARE):
         stalled = []
     endangered = [
-        at for at, one in enumerate(runs) if one.endangered and not one.stalled
+        index
+        for index, run in enumerate(runs)
+        if run.endangered and not run.stalled
     ]
-    endangered.sort(key=lambda at: -runs[at].left)
+    endangered.sort(key=lambda index: -runs[index].left)
     return [*stalled, *endangered][: max(0, idle)]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
@@ -1,54 +1,53 @@
-"""Decide when an entry turns its clients towards others of its hall.
+"""Overload detection of an entry, and shedding of its connections.
 
-Load pattern: entries of unequal size get equal shares of new connections. The
-smallest runs out of processor time, memory or connections in a burst, while
-others of its hall have plenty of all.
+Entries of unequal size get equal shares of new connections. In a burst the
+smallest runs out of resources first and asks its clients to reconnect to other
+entries of its data hall.
 """
 
 from collections.abc import Sequence
 
 from msgspec import Struct
 
-#: Timers this late (s) use up a noticeable part of the time to a first event.
+#: Timer delay from which an entry counts as overloaded.
 LATE_SECONDS = 0.05
-#: Parts of the memory and of the connections from which on room is short.
+#: Share of memory or connections in use from which an entry is overloaded.
 FULL = 0.75
-#: Below this part of what began it, a strain is over.
-_OVER = 0.4
-#: Weight of the newest look at the timer, of ten a second: one long step, as
-#: when a configuration is read, is no strain.
-_NEWEST = 0.1
+#: Hysteresis: overload ends below this share of the thresholds.
+_RECOVERY_SHARE = 0.4
+#: Low, so that one long step such as a configuration load is no overload.
+_SMOOTHING = 0.1
 
 
 class ResourceUse(Struct, frozen=True):
-    """Say what an entry has used, as parts of all that it has."""
+    """Shares of memory and connections in use, from 0 to 1."""
 
     memory: float = 0
     connections: float = 0
 
 
 class Strain(Struct):
-    """Tell whether an entry is short of something, by looks at itself."""
+    """Overload detector by timer delay and resource use."""
 
-    #: Smoothed seconds by which timers fire late.
+    #: Moving average of the timer delay in seconds.
     late: float = 0
     strained: bool = False
 
     def look(self, late: float, room: ResourceUse) -> bool:
-        """Take one look; tell whether what it says has changed."""
-        self.late += (late - self.late) * _NEWEST
+        """Add a sample; return whether ``strained`` has changed."""
+        self.late += (late - self.late) * _SMOOTHING
         used = max(room.memory, room.connections)
         pressure = max(self.late / LATE_SECONDS, used / FULL)
-        before = self.strained
-        bound = _OVER if before else 1
-        self.strained = pressure > bound
-        return self.strained is not before
+        previous = self.strained
+        threshold = _RECOVERY_SHARE if previous else 1
+        self.strained = pressure > threshold
+        return self.strained is not previous
 
 
 def turns_away(*, own: bool, others: Sequence[bool]) -> bool:
-    """Tell whether a strained entry sends its clients to the others.
+    """Return whether an overloaded entry sheds connections to its peers.
 
-    Where half of those that are heard are strained too, or none is heard,
-    clients would only come back.
+    It does not if half of the reachable peers are overloaded as well, or none
+    is reachable.
     """
     return own and 2 * sum(others) < len(others)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/placement.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/placement.py
@@ -1,15 +1,14 @@
-"""Which engine gets the next request.
-
-Load pattern: bursts in which many entries place hundreds of requests a second
-by counts that are some 0.05 s old. If each took the engine that looks best, all
-would take the same one, and its queue would grow while others have places. So
-each works out where all requests that it can't know of yet would go if they
-filled the fleet evenly, and takes one of these places by lot: together the
-entries fill the fleet evenly, though none knows of the others.
-
-Where engines differ in speed, a free place on a slow one still gives a first
-event sooner than a queue at a fast one. So places fill by share, fast engines
-somewhat ahead, and the time in a queue counts by the speed of its engine.
+"""Placement of online requests on engines.
+
+Entries place requests independently, by load counts that are slightly out of
+date. If each took the engine with the least load, all would pick the same one.
+Instead, an entry estimates the requests placed elsewhere that it has no report
+of, assigns them and its own to the cheapest slots in turn, and takes one of
+these slots at random.
+
+Where engines differ in speed, a free slot on a slow engine is still better
+than a queue at a fast one. Slots fill in proportion to their number, fast
+engines slightly ahead, and queueing time is weighted by engine speed.
 """
 
 import heapq
@@ -20,44 +19,41 @@
 
 from bendlead_gateway._scheduling.view import Chance, EngineView
 
-#: Where no place is free an item has to step aside first, which costs this
-#: much, and less on an engine with few online requests.
-_STEP_ASIDE_COST = 1.0
+# Costs are in requests.
+#: Cost of preempting a batch item, plus a share for each online request there.
+_PREEMPTION_COST = 1.0
 _ONLINE_SHARE = 0.1
-#: A request that finds all places with online requests waits for one; each
-#: that waits before it costs this much, in requests.
-_WAITING_COST = 3.0
-#: What being in another data hall costs, in requests: half of a place in a
-#: queue, so that bytes stay within a hall while it has room.
-_FAR_COST = 1.5
-#: An engine that is warming up counts as this much slower.
+#: Cost of each request queued ahead, where online requests use all slots.
+_QUEUED_COST = 3.0
+#: Cost of an engine in another data hall: half of a queued request, so that
+#: traffic stays within a hall while it has free slots.
+_REMOTE_COST = 1.5
+#: Slowdown assumed for an engine that is warming up.
 _WARMING_FACTOR = 2.0
-#: An engine that has fallen silent is asked only where all others are full.
+#: High enough that a silent engine is used only if all others are full.
 _SILENT_COST = 16.0
-#: How much slower than the median an engine must be to be told apart.
+#: Factor above the median time between events from which an engine is slow.
 _SLOW_FACTOR = 1.3
-#: How far fast engines are filled ahead of slow ones while both have places.
-#: At 0 a burst would find their places alike, though those of fast ones come
-#: free sooner; at 1 it would find them taken, and queue there.
-_SPEED_WEIGHT = 0.5
-#: Most requests that are laid out at a choice, for each engine: past that the
-#: lot hardly changes, and a choice must not cost a core's millisecond.
-_MOST_LAID = 2
+#: Exponent of the relative slowness in the cost of free slots: 0 would ignore
+#: speed, 1 would fill fast engines until requests queue there.
+_SPEED_EXPONENT = 0.5
+#: Unseen requests assigned for each engine in one choice, to bound its time.
+_MAX_ASSIGNED_PER_ENGINE = 2
 
 
 class Traffic(Struct, frozen=True):
-    """Say how long (s) a request runs, and how old what is known of others.
+    """Mean run time of a request and age of load reports, in seconds.
 
-    ``delay`` is the time from a request's begin to its news here.
+    ``delay`` is the time from the start of a request until it is reported here.
     """
 
     run_seconds: float
     delay: float
 
     def unseen(self, online: int) -> float:
-        """Estimate the requests that others placed and nobody here knows of.
+        """Estimate the requests placed elsewhere and not reported yet.
 
-        As many begin as end: those that run, over the seconds that each runs.
+        In a steady state requests start at the rate ``online / run_seconds``.
         """
         if self.run_seconds <= 0:
             return 0
@@ -65,11 +61,10 @@
 
 
 class Placement(Struct, frozen=True):
-    """Name the engine for a request, and the wait (s) that the fleet imposes.
+    """Engine chosen for a request, and the expected wait in seconds.
 
-    The wait is that of one more request where all unseen ones have the best
-    places. It decides on refusals: where others are taken in time, nobody is
-    refused because the lot fell on a full engine.
+    The wait is that of a request placed after all unseen ones, not of the
+    engine drawn: admission depends on the fleet and not on the draw.
     """
 
     view: EngineView
@@ -79,84 +74,87 @@
 def choose(
     views: Sequence[EngineView], traffic: Traffic, chance: Chance
 ) -> Placement | None:
-    """Choose the engine for an online request among those not yet asked."""
-    # All of them failing says more about us than about them.
-    able = [one for one in views if not one.paused] or views
-    if not able:
+    """Choose an engine for an online request, ``None`` without views."""
+    # If all engines are paused, the fault is more likely on this side.
+    usable = [view for view in views if not view.paused] or views
+    if not usable:
         return None
-    scale = _Scale(_usual_pace(able), _slowest(able))
-    unseen = traffic.unseen(sum(one.online for one in views))
-    # A part of a request counts by lot.
-    others = min(int(unseen + chance()), _MOST_LAID * len(able))
-    laid = _lay_out([_Place(one, scale) for one in able], others, chance)
-    lot = min(int(chance() * len(laid)), others)
-    known = able[laid[lot].number]
-    return Placement(known, laid[-1].view.wait(traffic.run_seconds))
-
-
-def _lay_out(
-    places: Sequence['_Place'], others: int, chance: Chance
-) -> Sequence['_Laid']:
-    """Lay out one request behind others, each where it then costs least."""
+    reference = _Reference(_median_pace(usable), _max_slowness(usable))
+    unseen = traffic.unseen(sum(view.online for view in views))
+    # The fraction is rounded up or down at random.
+    others = min(int(unseen + chance()), _MAX_ASSIGNED_PER_ENGINE * len(usable))
+    assigned = _assign(
+        [_Candidate(view, reference) for view in usable], others, chance
+    )
+    drawn = min(int(chance() * len(assigned)), others)
+    chosen = usable[assigned[drawn].index]
+    return Placement(chosen, assigned[-1].view.wait(traffic.run_seconds))
+
+
+def _assign(
+    candidates: Sequence['_Candidate'], others: int, chance: Chance
+) -> Sequence['_Assignment']:
+    """Assign ``others`` requests and one more, each to the cheapest engine."""
     ranked = [
-        (place.cost, chance(), number) for number, place in enumerate(places)
+        (candidate.cost, chance(), index)
+        for index, candidate in enumerate(candidates)
     ]
     heapq.heapify(ranked)
-    laid: list[_Laid] = []
-    while len(laid) <= others:
-        number = ranked[0][-1]
-        place = places[number]
-        laid.append(_Laid(number, place.view))
-        place.add()
-        heapq.heapreplace(ranked, (place.cost, chance(), number))
-    return laid
-
-
-def _usual_pace(views: Sequence[EngineView]) -> float:
-    paces = sorted(one.pace for one in views)
+    assigned: list[_Assignment] = []
+    while len(assigned) <= others:
+        index = ranked[0][-1]
+        candidate = candidates[index]
+        assigned.append(_Assignment(index, candidate.view))
+        candidate.add()
+        heapq.heapreplace(ranked, (candidate.cost, chance(), index))
+    return assigned
+
+
+def _median_pace(views: Sequence[EngineView]) -> float:
+    paces = sorted(view.pace for view in views)
     return paces[len(paces) // 2]
 
 
-def _slowest(views: Sequence[EngineView]) -> float:
-    """Give the greatest slowness, or 0 where all engines count as alike."""
-    if all(one.slowness == 1 for one in views):
+def _max_slowness(views: Sequence[EngineView]) -> float:
+    """Return the greatest slowness, 0 if all engines are equally fast."""
+    if all(view.slowness == 1 for view in views):
         return 0
-    return max(one.present_slowness for one in views)
+    return max(view.present_slowness for view in views)
 
 
-class _Scale(Struct, frozen=True):
-    """Say what engines are compared with."""
+class _Reference(Struct, frozen=True):
+    """Speeds that engines are compared with."""
 
-    usual_pace: float
-    slowest: float
+    median_pace: float
+    max_slowness: float
 
 
-class _Laid(Struct, frozen=True):
-    """Say at which engine a request was laid out, and what it meets there."""
+class _Assignment(Struct, frozen=True):
+    """Engine assigned to a request, and its load before the request."""
 
-    number: int
+    index: int
     view: EngineView
 
 
-class _Place(Struct):
-    """Cost one more request at an engine, by what was laid out there."""
+class _Candidate(Struct):
+    """Engine with the requests assigned to it in this choice."""
 
     view: EngineView
-    scale: _Scale
+    reference: _Reference
 
     @property
     def cost(self) -> float:
-        """Give the cost, in shares of what the engine runs at once."""
-        if self.scale.slowest:
+        """Return the cost of one more request, as a share of the slots."""
+        if self.reference.max_slowness:
             return self._cost_by_speed()
         view = self.view
         load = _load(view)
         if view.silent:
             load += _SILENT_COST
         if not view.near:
-            load += _FAR_COST
+            load += _REMOTE_COST
         load /= view.slots
-        usual = self.scale.usual_pace
+        usual = self.reference.median_pace
         if usual and view.pace > usual * _SLOW_FACTOR:
             load *= view.pace / usual
         if view.warming:
@@ -164,31 +162,31 @@
         return load
 
     def add(self) -> None:
-        """Count one more request there."""
+        """Assign one more request to the engine."""
         self.view = replace(self.view, online=self.view.online + 1)
 
     def _cost_by_speed(self) -> float:
-        """Give the cost where the engines of the service differ in speed."""
+        """Return the cost where engines of the service differ in speed."""
         view = self.view
         slowness = view.present_slowness
         if view.warming:
             slowness *= _WARMING_FACTOR
         share = _load(view) / view.slots
         if view.free > 0:
-            share *= (slowness / self.scale.slowest) ** _SPEED_WEIGHT
+            share *= (slowness / self.reference.max_slowness) ** _SPEED_EXPONENT
         else:
             share = 1 + (share - 1) * slowness
         if view.silent:
             share += _SILENT_COST / view.slots
         if not view.near:
-            share += _FAR_COST / view.slots
+            share += _REMOTE_COST / view.slots
         return share
 
 
 def _load(view: EngineView) -> float:
-    """Give the cost, in requests, by the places taken."""
+    """Return the cost by slots in use and queue length, in requests."""
     if view.free > 0:
         return view.online + view.batch + 1
     online = view.online + view.stuck
-    load = view.slots + _STEP_ASIDE_COST + online * _ONLINE_SHARE
-    return load + view.waiting * _WAITING_COST
+    load = view.slots + _PREEMPTION_COST + online * _ONLINE_SHARE
+    return load + view.waiting * _QUEUED_COST
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/places.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/places.py
@@ -1,7 +1,7 @@
-"""Which places items of batch jobs take, and when they step aside.
+"""Slots for batch items, and preemption of items in favour of others.
 
-Load pattern: square bursts that double online load within 0.2 s, and gaps of
-some seconds between them that are shorter than an item's run.
+Online load may double faster than reports reach the owners of items, and the
+gaps between bursts are shorter than an item run.
 """
 
 from collections.abc import Container, Sequence
@@ -12,30 +12,31 @@
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import EngineId
 
-#: Places left to online requests, by how much of a job's time has passed.
-#: A burst doubles online load within 0.2 s, and a report of it takes up to
-#: 0.1 s; what is due soon takes the risk that it has to step aside. More room
-#: protects no further request and makes items late.
+#: Slots left free by job age, a share of the job's time: up to which age, and
+#: how many. Items of older jobs risk preemption to meet their target.
 _HEADROOM = ((0.2, 1),)
-_LEAST_HEADROOM = 0
-#: A place is left for unseen requests where an engine gets this many of them
-#: on average, since one that finds no place waits until an item has gone.
-_LEAST_UNSEEN = 0.3
-#: Left more where the items of another owner go first: both may find the same
-#: place within the 0.05 s that news take, and the latter's run is stopped.
+_MIN_HEADROOM = 0
+#: Mean number of unseen requests per engine from which a slot is kept for them.
+_MIN_UNSEEN = 0.3
+#: Further slots left where another owner has precedence: both may take the same
+#: slot before their reports arrive, and this owner's run would be preempted.
 LEFT_TO_FIRST = 1
 
 
 def places_kept(views: Sequence[EngineView], traffic: Traffic) -> int:
-    """Count the places to leave at each engine for requests not known yet."""
+    """Return the slots to keep on each engine for unseen requests."""
     if not views:
         return 0
-    unseen = traffic.unseen(sum(one.online for one in views)) / len(views)
-    return int(unseen + 1 - _LEAST_UNSEEN)
+    unseen = traffic.unseen(sum(view.online for view in views)) / len(views)
+    return int(unseen + 1 - _MIN_UNSEEN)
 
 
 class ItemPlaces:
-    """Give out the places that are idle at one moment."""
+    """Allocator of the idle slots at one moment.
+
+    ``led`` are the engines on which this owner has precedence, ``None`` if on
+    all.
+    """
 
     def __init__(
         self,
@@ -45,46 +46,47 @@
     ) -> None:
         self._kept = kept
         self._led = led
-        # All of them failing says more about us than about them.
-        able = [one for one in views if not one.paused] or views
+        # If all engines are paused, the fault is more likely on this side.
+        usable = [view for view in views if not view.paused] or views
         self._views: dict[EngineId, EngineView] = {
-            one.name: one for one in able
+            view.name: view for view in usable
         }
 
     def take(self, age: float) -> EngineView | None:
-        """Take the place for an item of a job, of whose time a share is over.
+        """Take a slot on the engine with most idle ones, if there is one.
 
-        The engine with most idle places gets it.
+        ``age`` is the elapsed share of the job's time.
         """
-        found = max(self._views.values(), key=self._room, default=None)
-        if found is None or self._room(found) <= headroom(age):
+        best = max(self._views.values(), key=self._idle, default=None)
+        if best is None or self._idle(best) <= headroom(age):
             return None
-        taken = replace(found, batch=found.batch + 1)
-        self._views[found.name] = taken
-        return taken
+        updated = replace(best, batch=best.batch + 1)
+        self._views[best.name] = updated
+        return updated
 
-    def _room(self, view: EngineView) -> int:
-        """Count the places there that an item of no age could take."""
-        room = view.free - self._kept
+    def _idle(self, view: EngineView) -> int:
+        """Count the idle slots of an engine, before headroom by age."""
+        idle = view.free - self._kept
         if self._led is None or view.name in self._led:
-            return room
-        return room - LEFT_TO_FIRST
+            return idle
+        return idle - LEFT_TO_FIRST
 
 
 def surplus(
     view: EngineView, runs: int, kept: int = 0, items_before: int = 0
 ) -> int:
-    """Count those of this process's runs that must step aside.
+    """Return how many of this process's runs to preempt on an engine.
 
-    They do so for requests and for the items of owners that go first.
+    They make room for online requests, for the slots kept and for items of
+    owners that have precedence.
     """
-    over = view.online + kept + items_before + runs - view.slots
-    return min(max(0, over), runs)
+    excess = view.online + kept + items_before + runs - view.slots
+    return min(max(0, excess), runs)
 
 
 def headroom(age: float) -> int:
-    """Count the places left to bursts by an item of a job of an age."""
-    for below, places in _HEADROOM:
-        if age < below:
-            return places
-    return _LEAST_HEADROOM
+    """Return the slots that an item leaves free, by the age of its job."""
+    for max_age, slots in _HEADROOM:
+        if age < max_age:
+            return slots
+    return _MIN_HEADROOM
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/precedence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/precedence.py
@@ -1,9 +1,7 @@
-"""Whose items go first on an engine where several owners place some.
+"""Precedence among owners whose batch items share an engine.
 
-Load pattern: bursts in which items of several owners share an engine. An owner
-that steps aside for its own items alone holds places together with the others
-that the engine does not have, and requests wait behind items. If each steps
-aside for those of all, all stop for the same request and start again together.
+If each owner counted only its own items, several would overcommit the engine.
+If each preempted for all others, all would stop for the same request.
 """
 
 from collections.abc import Mapping
@@ -15,63 +13,62 @@
 
 
 class OwnerItems(Protocol):
-    """Tell on which engines another owner runs items."""
+    """Items that another owner runs, as last reported."""
 
     @property
     def batch(self) -> Mapping[EngineId, int]:
-        """Give the number of items on each engine."""
+        """Return the number of items by engine."""
 
     @property
     def quiet(self) -> bool:
-        """Tell whether nothing is heard of it, so that it stops none."""
+        """Return whether its reports have ceased, so that it preempts none."""
 
 
 class Precedence:
-    """Order the owners on each engine, alike in all processes.
-
-    Where each owner steps aside for its own items alone, several together
-    hold more places than the engine has.
-    """
+    """Order of owners on each engine, by a hash that all processes share."""
 
     def __init__(self, node: NodeName) -> None:
         self._node = node
         self._others: Mapping[NodeName, OwnerItems] = {}
-        self._first: dict[EngineId, list[NodeName]] = {}
+        self._preceding: dict[EngineId, list[NodeName]] = {}
 
     def meet(self, others: Mapping[NodeName, OwnerItems]) -> None:
-        """Take the other owners that have items on engines."""
+        """Replace the other owners that have items on engines."""
         if others.keys() != self._others.keys():
-            self._first.clear()
+            self._preceding.clear()
         self._others = others
 
     @property
     def owners(self) -> int:
-        """Count the owners that have items on engines, and this one."""
+        """Return the number of owners with items, including this one."""
         return len(self._others) + 1
 
     def leads(self, engine: EngineId) -> bool:
-        """Tell whether items from here go before all others there."""
-        return not self._before(engine)
+        """Return whether this owner comes first on an engine."""
+        return not self._owners_before(engine)
 
     def items_before(self, engine: EngineId) -> int:
-        """Count the items on an engine that those from here step aside for.
+        """Count the items on an engine that take precedence over own ones.
 
-        Items that nobody stops hold their places, whoever began them.
+        Items of owners whose reports have ceased count as well, since nobody
+        preempts them.
         """
-        first = self._before(engine)
+        preceding = self._owners_before(engine)
         return sum(
-            one.batch.get(engine, 0)
-            for name, one in self._others.items()
-            if one.quiet or name in first
+            owner.batch.get(engine, 0)
+            for name, owner in self._others.items()
+            if owner.quiet or name in preceding
         )
 
-    def _before(self, engine: EngineId) -> list[NodeName]:
-        found = self._first.get(engine)
-        if found is None:
+    def _owners_before(self, engine: EngineId) -> list[NodeName]:
+        preceding = self._preceding.get(engine)
+        if preceding is None:
             own = _rank(self._node, engine)
-            found = [one for one in self._others if _rank(one, engine) < own]
-            self._first[engine] = found
-        return found
+            preceding = [
+                node for node in self._others if _rank(node, engine) < own
+            ]
+            self._preceding[engine] = preceding
+        return preceding
 
 
 def _rank(node: NodeName, engine: EngineId) -> int:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/refused.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/refused.py
@@ -1,53 +1,50 @@
-"""Which items hold places while online requests are refused.
+"""Deferral of batch items while online requests are refused.
 
-Load pattern: online load beyond all places for some seconds, with items due
-later beside it. An item in time costs its owner nothing if it runs afterwards;
-a request that is refused comes back late or not at all.
+An item that meets its target after the burst loses nothing by waiting, while a
+refused request returns late or not at all.
 """
 
 import enum
 import math
 
-#: Refusals count for this long (s): callers that were told to come back do so
-#: after tenths of a second, and bursts come in waves.
-_LATELY_SECONDS = 0.5
-#: An item that would still be in time if it began this much (s) later loses
-#: nothing by waiting out a burst.
-_LATER_SECONDS = 5.0
-#: Share of a service's places for the items that can wait no longer.
-_KEPT_SHARE = 0.1
-#: Where online requests take less than this share of the places, nobody can
-#: have been refused for want of them: whoever says so is mistaken.
-_LEAST_TAKEN = 0.5
+#: Covers the retries of refused clients and short gaps within a burst.
+_RECENT_SECONDS = 0.5
+#: Spare time from which an item can wait until a burst is over.
+_DEFERRABLE_SECONDS = 5.0
+#: Share of a service's slots kept for items that can't be deferred.
+_URGENT_SHARE = 0.1
+#: Share of slots used by online requests below which reports of refusals are
+#: disregarded as false.
+_MIN_ONLINE_SHARE = 0.5
 
 
 class Wait(enum.Enum):
-    """Say what waiting would cost an item."""
+    """Whether an item can be deferred."""
 
-    #: Nothing: it can still be in time afterwards.
+    #: It can still meet its target after a burst.
     LATER = 'later'
-    #: Its being in time, or it is late already.
+    #: It would miss its target, or has missed it already.
     NOW = 'now'
 
 
 def refused_lately(seconds: float) -> bool:
-    """Tell whether a refusal of so many seconds ago still counts."""
-    return seconds < _LATELY_SECONDS
+    """Return whether a refusal some seconds ago still counts."""
+    return seconds < _RECENT_SECONDS
 
 
 def may_lack_places(online: int, slots: int) -> bool:
-    """Tell whether requests may lack places where so many hold some."""
-    return online >= slots * _LEAST_TAKEN
+    """Return whether requests may lack slots, by the number that run."""
+    return online >= slots * _MIN_ONLINE_SHARE
 
 
 def judge_wait(spare: float) -> Wait:
-    """Judge an item that would be whole so many seconds before it is due.
+    """Classify an item by the seconds between its completion and its target.
 
-    One that is never due would wait without end.
+    An item without a target is not deferred, as it would wait without end.
     """
-    return Wait.LATER if _LATER_SECONDS < spare < math.inf else Wait.NOW
+    return Wait.LATER if _DEFERRABLE_SECONDS < spare < math.inf else Wait.NOW
 
 
 def places_for_late(slots: int, owners: int) -> int:
-    """Count the places that one of some owners keeps for such items."""
-    return max(1, int(slots * _KEPT_SHARE / max(1, owners)))
+    """Return the slots that each owner keeps for items not deferred."""
+    return max(1, int(slots * _URGENT_SHARE / max(1, owners)))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/retry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/retry.py
@@ -1,70 +1,65 @@
-"""Whether a request is offered to one more engine, and how long one is awaited.
+"""Retries of requests on another engine.
 
-Load patterns: engines that are lost or fall silent one by one, where another
-can still answer in time; and engines that are all slow, where asking twice
-makes them slower.
+Another engine can replace one that is lost or silent, but where all engines
+are slow, retries add load; a budget bounds them.
 """
 
 from collections.abc import Iterable
 
 from bendlead_gateway._scheduling.view import EngineView
 
-#: Past this share of the aim a request is offered no further engine that
-#: refuses; an early refusal lets the client try another entry.
-_REFUSE_SHARE = 0.2
-#: The same after a connection that did not come up, which says nothing of the
-#: other engines: whoever comes back later has surely missed the aim.
+#: Share of the latency target after which a request that engines refuse is
+#: refused to the client, early enough to try another entry.
+_REFUSED_SHARE = 0.2
+#: The same after failed connections, which tell nothing of other engines.
 _UNREACHABLE_SHARE = 1.0
-#: When a client should come back whom no engine took (s): a place gets free
-#: every few tens of ms.
+#: Retry-after for a client whose request no engine took; slots free up often.
 RETRY_AFTER = 0.1
-#: An engine with a free place begins its answer within this share of the aim,
-#: and where it does not another one can still meet it. A shorter wait asks for
-#: answers again that were about to come in time.
-_SILENT_SHARE = 2 / 3
-#: Each request adds this many second tries, up to the most.
-_TRIES_EARNED = 0.1
-_MOST_TRIES = 10.0
+#: Share of the latency target after which an engine without a response is
+#: replaced, so that another one can still meet the target.
+_SILENCE_SHARE = 2 / 3
+#: Retries earned by each request, and the size of the budget.
+_RETRIES_PER_REQUEST = 0.1
+_MAX_RETRIES = 10.0
 
 
 def too_late_to_offer(waited: float, target: float, unreachable: bool) -> bool:
-    """Tell whether a request that no engine took is better refused now."""
-    share = _UNREACHABLE_SHARE if unreachable else _REFUSE_SHARE
+    """Return whether to refuse a request instead of trying more engines.
+
+    ``waited`` and ``target`` are in seconds.
+    """
+    share = _UNREACHABLE_SHARE if unreachable else _REFUSED_SHARE
     return waited > target * share
 
 
 class SecondTries:
-    """Bound how often a silent engine is replaced.
+    """Budget of retries for requests whose engine does not respond.
 
-    A connection may stay open and say nothing more for good, and an engine
-    may be gone without a reset.
+    Needed where an engine is gone without a connection reset.
     """
 
     def __init__(self) -> None:
-        self._tries = _MOST_TRIES
+        self._available = _MAX_RETRIES
 
     def earn(self) -> None:
-        """Count one request towards later second tries."""
-        self._add(_TRIES_EARNED)
+        """Add the share of a retry that each request earns."""
+        self._add(_RETRIES_PER_REQUEST)
 
     def take(self, target: float) -> float | None:
-        """Take a second try; give how long (s) an engine is awaited."""
-        if self._tries < 1:
+        """Take a retry; return the response timeout in seconds, if any."""
+        if self._available < 1:
             return None
-        self._tries -= 1
-        return target * _SILENT_SHARE
+        self._available -= 1
+        return target * _SILENCE_SHARE
 
     def give_back(self) -> None:
-        """Return a second try that was not needed."""
+        """Return an unused retry to the budget."""
         self._add(1)
 
-    def _add(self, tries: float) -> None:
-        self._tries = min(_MOST_TRIES, self._tries + tries)
+    def _add(self, retries: float) -> None:
+        self._available = min(_MAX_RETRIES, self._available + retries)
 
 
 def any_free(others: Iterable[EngineView]) -> bool:
-    """Tell whether another engine has a free place.
-
-    Where none has one, the answer of a silent engine is best awaited.
-    """
-    return any(one.free > 0 and not one.paused for one in others)
+    """Return whether another engine has a free slot for a retry."""
+    return any(view.free > 0 and not view.paused for view in others)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/served.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/served.py
@@ -1,8 +1,4 @@
-"""What each team or job was given lately, in tokens.
-
-Load pattern: teams that are busy for minutes and then rest. What one had long
-ago must not count against it, nor what it left unused for it.
-"""
+"""Exponentially decaying token counts per team or job."""
 
 import math
 from collections.abc import Mapping
@@ -10,37 +6,38 @@
 
 from msgspec import Struct
 
-#: Tokens count half after this long (s): some runs of an item.
-HALF_SECONDS = 10.0
-#: An item that states no size counts as one token.
-LEAST_TOKENS = 1
-#: What is left of a key that had nothing for long; it is dropped then.
-_FORGOTTEN_TOKENS = 0.01
+#: Long enough to span several item runs, short enough that neither past use
+#: nor past idleness counts for long.
+HALF_LIFE_SECONDS = 10.0
+#: Tokens counted for an item that states no size.
+MIN_TOKENS = 1
+#: Keys whose count falls below this are dropped.
+_DROP_BELOW_TOKENS = 0.01
 
 _Key = TypeVar('_Key')
 
 
-class Served(Struct, Generic[_Key]):
-    """Add up the tokens begun lately for each of some keys."""
+class DecayedTokens(Struct, Generic[_Key]):
+    """Token counts per key, halved every ``HALF_LIFE_SECONDS``."""
 
     _tokens: dict[_Key, float]
-    _at: float = 0
+    _updated_at: float = 0
 
     def add(self, key: _Key, tokens: int, now: float) -> None:
-        """Count an item that begins."""
-        self._age(now)
+        """Add tokens to the count of a key."""
+        self._decay(now)
         self._tokens[key] = self._tokens.get(key, 0) + tokens
 
-    def lately(self, now: float) -> Mapping[_Key, float]:
-        """Give what each had, older tokens for less."""
-        self._age(now)
+    def current(self, now: float) -> Mapping[_Key, float]:
+        """Return the decayed counts by key."""
+        self._decay(now)
         return self._tokens
 
-    def _age(self, now: float) -> None:
-        part = math.exp2((self._at - now) / HALF_SECONDS)
-        self._at = now
+    def _decay(self, now: float) -> None:
+        factor = math.exp2((self._updated_at - now) / HALF_LIFE_SECONDS)
+        self._updated_at = now
         self._tokens = {
-            key: tokens * part
+            key: tokens * factor
             for key, tokens in self._tokens.items()
-            if tokens * part >= _FORGOTTEN_TOKENS
+            if tokens * factor >= _DROP_BELOW_TOKENS
         }
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
@@ -1,8 +1,7 @@
-"""Which items run first, and which are stopped first.
+"""Urgency of batch items, for the order of starts and preemptions.
 
-Load pattern: more items than the places beside square bursts can finish in
-time. Whoever counts on a place that the next burst takes back spends it on
-items that end just after they are due.
+Under overload, an item that would need an uninterrupted run to meet its target
+is likely to be preempted by a burst and to complete too late.
 """
 
 import math
@@ -11,71 +10,69 @@
 
 from msgspec import Struct
 
-#: Weight of the newest item in the smoothed times of whole items.
-_NEWEST = 0.1
-#: Until items have been timed, one is taken to hold its place this long (s).
-_FIRST_GUESS = 4.0
-#: Clients read twice a second; a result later than this (s) before it is due
-#: is seen too late.
-_SEEN_SECONDS = 0.3
-#: No item is taken to need longer than this many times the seconds for which
-#: it holds places: one that was stopped for long tells little of the next.
-_MOST_STRETCH = 3.0
-#: Seconds between two looks at the work that is left.
+#: Smoothing factor of item times.
+_SMOOTHING = 0.1
+#: Run time assumed until items have completed.
+_INITIAL_RUN_SECONDS = 4.0
+#: Margin before the target, for clients that poll for results.
+_POLL_MARGIN_SECONDS = 0.3
+#: Upper bound of the stretch, as a long preemption tells little of later ones.
+_MAX_STRETCH = 3.0
+#: Interval between updates of the remaining work.
 LOOK_SECONDS = 0.25
-#: Weight of the newest count of places in the smoothed one, which holds over
-#: some 5 s of looks, longer than a burst.
-_NEWEST_HELD = 0.05
-#: Where the places held lately would take this many times the time in which an
-#: item is due to do all work that is left, new items yield. A lower number
-#: takes a load for hopeless that only a few items are too many for.
-_CROWDED = 2.0
+#: Smoothing factor of the slots in use; its window is longer than a burst.
+_SLOTS_SMOOTHING = 0.05
+#: Overload: the remaining work takes this many times the target of an item.
+_OVERLOAD_FACTOR = 2.0
 
 
 class Prospect(IntEnum):
-    """Say whether an item can be whole in time, the best prospect first."""
+    """Chance of an item to meet its target, the best one first."""
 
     LIKELY = 0
-    #: Only if nothing stops it.
+    #: Only if it is not preempted.
     UNSTOPPED = 1
     TOO_LATE = 2
 
 
 class Urgency(Struct, frozen=True, order=True):
-    """Order items: those that can still be in time, oldest job first."""
+    """Sort key of items: prospect first, then the age of the job."""
 
     prospect: Prospect
     accepted_at: float
 
 
 class ItemPace:
-    """Learn how long an item holds places, and how long it takes, stops too."""
+    """Moving averages of item run time and of its stretch by preemptions."""
 
     def __init__(self) -> None:
-        self._seconds = _FIRST_GUESS
+        self._seconds = _INITIAL_RUN_SECONDS
         self._stretch = 1.0
-        self._held: float | None = None
+        self._slots_held: float | None = None
         self._clear_seconds = 0.0
 
     @property
     def seconds(self) -> float:
-        """Give the smoothed seconds for which a whole item held places."""
+        """Return the mean run time of a complete item in seconds."""
         return self._seconds
 
     def look(self, spent: Iterable[float], held: int) -> None:
-        """Take the seconds spent on each unfinished item, and places held."""
-        if self._held is None:
-            self._held = held
-        self._held += (held - self._held) * _NEWEST_HELD
-        work = sum(max(self._seconds - one, 0) for one in spent)
-        self._clear_seconds = work / max(1, self._held)
+        """Update the remaining work and the slots in use.
+
+        ``spent`` is the run time so far of each incomplete item, in seconds.
+        """
+        if self._slots_held is None:
+            self._slots_held = held
+        self._slots_held += (held - self._slots_held) * _SLOTS_SMOOTHING
+        work = sum(max(self._seconds - seconds, 0) for seconds in spent)
+        self._clear_seconds = work / max(1, self._slots_held)
 
     def observe(self, seconds: float, took: float | None = None) -> None:
-        """Take the seconds that a whole item held places, and took in all."""
-        self._seconds += (seconds - self._seconds) * _NEWEST
+        """Add a complete item's run time and total time, in seconds."""
+        self._seconds += (seconds - self._seconds) * _SMOOTHING
         if took is not None and seconds > 0:
-            stretch = min(max(took / seconds, 1), _MOST_STRETCH)
-            self._stretch += (stretch - self._stretch) * _NEWEST
+            stretch = min(max(took / seconds, 1), _MAX_STRETCH)
+            self._stretch += (stretch - self._stretch) * _SMOOTHING
 
     def urgency(
         self,
@@ -84,39 +81,37 @@
         spent: float,
         target: float,
     ) -> Urgency:
-        """Rank an item of a job of an age, run for some seconds so far.
+        """Return the urgency of an item; age, spent and target in seconds.
 
-        Where there is far more work than places, a new item is taken to be
-        stopped as often as the items before it, and yields to those that need
-        less luck; one that was begun is not, since what was spent on it would
-        be lost. Elsewhere all are taken to run on to their end.
+        Under overload, a new item is expected to be preempted as often as
+        previous ones. An item that has started is not, since its progress
+        would be lost.
         """
         if not target:
             return Urgency(Prospect.LIKELY, accepted_at)
         left = self.left(spent)
-        spare = target - _SEEN_SECONDS - age
+        spare = target - _POLL_MARGIN_SECONDS - age
         if left > spare:
             prospect = Prospect.TOO_LATE
-        elif not spent and left * self._likely_stretch(target) > spare:
+        elif not spent and left * self._expected_stretch(target) > spare:
             prospect = Prospect.UNSTOPPED
         else:
             prospect = Prospect.LIKELY
         return Urgency(prospect, accepted_at)
 
     def left(self, spent: float) -> float:
-        """Give the seconds for which an item will still hold places."""
+        """Return the remaining run time of an item in seconds."""
         return max(self._seconds - spent, 0)
 
     def spare(self, age: float, spent: float, target: float) -> float:
-        """Give how long (s) before it is due an item would be whole.
+        """Return the seconds between completion and target of an item.
 
-        It is below 0 for one that is too late, and endless for one that is
-        never due.
+        Negative if it will be late, infinite without a target.
         """
         if not target:
             return math.inf
-        return target - _SEEN_SECONDS - age - self.left(spent)
+        return target - _POLL_MARGIN_SECONDS - age - self.left(spent)
 
-    def _likely_stretch(self, target: float) -> float:
-        crowded = self._clear_seconds > target * _CROWDED
-        return self._stretch if crowded else 1.0
+    def _expected_stretch(self, target: float) -> float:
+        overloaded = self._clear_seconds > target * _OVERLOAD_FACTOR
+        return self._stretch if overloaded else 1.0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/view.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/view.py
@@ -1,4 +1,4 @@
-"""What is known of an engine when a request or an item is placed."""
+"""State of an engine as used for placement."""
 
 from collections.abc import Callable
 
@@ -6,22 +6,20 @@
 
 from bendlead_gateway.types import Engine, EngineId
 
-#: Draws a number from 0 up to 1.
+#: Returns a random number from 0 up to, but not including, 1.
 Chance = Callable[[], float]
 
 
 class EngineView(Struct, frozen=True):
-    """Hold the load of one engine as it is believed here.
-
-    ``online`` counts requests of clients and ``batch`` items of jobs, here and
-    at all peers; what peers do is some 0.05 s old. ``stuck`` counts those of
-    the items that step aside for no request. ``pace`` is the time between two
-    events in seconds, 0 where none was seen. ``slowness`` is how many times
-    the usual time a request runs there, 1 where engines are alike, and
-    ``stall`` how many times longer still at this moment. ``near`` says that
-    the engine is in the data hall of this process. ``paused`` engines take no
-    part, and ``doubted`` ones get nothing that may be sent once while others
-    can.
+    """Load, speed and health of an engine as known to this process.
+
+    ``online`` counts requests and ``batch`` items, here and at all peers as
+    last reported; ``stuck`` counts the items that can't be preempted. ``pace``
+    is the time between two events in seconds, 0 if unknown. ``slowness`` is
+    the run time relative to other engines of the service, ``stall`` a further
+    factor at this moment. ``near`` engines are in this process's data hall.
+    ``paused`` engines get no requests, and ``doubted`` ones none that may be
+    sent only once, unless there are no others.
     """
 
     engine: Engine
@@ -39,39 +37,39 @@
 
     @property
     def name(self) -> EngineId:
-        """Give the id of the engine."""
+        """Return the id of the engine."""
         return self.engine.engine
 
     @property
     def slots(self) -> int:
-        """Give the requests that the engine runs at once."""
+        """Return the number of requests that the engine runs at once."""
         return self.engine.slots
 
     @property
     def free(self) -> int:
-        """Count the places that nothing takes; below 0 where some wait."""
+        """Return the number of free slots, negative while requests queue."""
         return self.slots - self.online - self.batch
 
     @property
     def present_slowness(self) -> float:
-        """Give how many times the usual time an event takes right now."""
+        """Return the slowness including the current stall."""
         return self.slowness * self.stall
 
     @property
     def waiting(self) -> int:
-        """Count those that one more request would find waiting, and itself.
+        """Return the queue length with one more request.
 
-        Items that step aside are none of them.
+        Items that can be preempted do not count.
         """
         return max(0, self.online + self.stuck + 1 - self.slots)
 
     def wait(self, run_seconds: float) -> float:
-        """Estimate the seconds until one more request has a place.
+        """Estimate the seconds until one more request gets a slot.
 
-        A request takes ``run_seconds`` at the usual engine. A fast one is
-        taken for no faster: it may stall next, and who waits in vain is served
-        late, while who is refused in time comes back.
+        ``run_seconds`` is the run time on an engine of usual speed. Fast
+        engines count as usual, since too short an estimate makes a request
+        late, while a refused one can retry.
         """
-        places = max(1, self.slots - self.stuck)
+        slots = max(1, self.slots - self.stuck)
         slowness = max(1, self.present_slowness)
-        return self.waiting * run_seconds * slowness / places
+        return self.waiting * run_seconds * slowness / slots
