--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -31,7 +31,7 @@
     UnreachableError,
 )
 from bendlead_gateway._online.relay import AnswerRelay, end_to_end_headers
-from bendlead_gateway._scheduling.retry import SecondTries, any_free
+from bendlead_gateway._scheduling.retry import RetryBudget, has_free_slot
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._suspects.ends import Break
 from bendlead_gateway.dialect import Dialect
@@ -60,7 +60,7 @@
         self._shared = fleet.shared_health
         self._log = log
         self._metrics = metrics
-        self._second_tries = SecondTries()
+        self._second_tries = RetryBudget()
 
     def make(self, exchange: Exchange, view: EngineView) -> None:
         """Have the engine serve the request.
@@ -178,7 +178,7 @@
             return None
         service = view.engine.service
         others = self._fleet.balancer.views(service, exchange.tried)
-        if not any_free(others):
+        if not has_free_slot(others):
             return None
         return self._second_tries.take(exchange.route.target)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -206,7 +206,7 @@
     def _should_refuse_now(self, exchange: Exchange, unreachable: bool) -> bool:
         if exchange.runs or exchange.responder.started:
             return False
-        return retry.too_late_to_offer(
+        return retry.too_late_to_retry(
             exchange.elapsed - exchange.queued_seconds,
             exchange.route.target,
             unreachable,
@@ -222,7 +222,9 @@
             return 'unknown'
         if exchange.seconds_left < _MIN_SECONDS_LEFT:
             return self._time_out(exchange)
-        return self._refuse(exchange, exchange.failure, retry.RETRY_AFTER)
+        return self._refuse(
+            exchange, exchange.failure, retry.RETRY_AFTER_SECONDS
+        )
 
     def _refuse(
         self, exchange: Exchange, reason: str, retry_after: float
@@ -244,7 +246,9 @@
             return 'timed_out_midway'
         if not exchange.may_have_run:
             return self._refuse(
-                exchange, 'deadline passed before any run', retry.RETRY_AFTER
+                exchange,
+                'deadline passed before any run',
+                retry.RETRY_AFTER_SECONDS,
             )
         exchange.responder.close_after()
         exchange.answer(HTTPStatus.GATEWAY_TIMEOUT)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/retry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/retry.py
@@ -14,7 +14,7 @@
 #: The same after failed connections, which tell nothing of other engines.
 _UNREACHABLE_SHARE = 1.0
 #: Retry-after for a client whose request no engine took; slots free up often.
-RETRY_AFTER = 0.1
+RETRY_AFTER_SECONDS = 0.1
 #: Share of the latency target after which an engine without a response is
 #: replaced, so that another one can still meet the target.
 _SILENCE_SHARE = 2 / 3
@@ -23,7 +23,7 @@
 _MAX_RETRIES = 10.0
 
 
-def too_late_to_offer(waited: float, target: float, unreachable: bool) -> bool:
+def too_late_to_retry(waited: float, target: float, unreachable: bool) -> bool:
     """Return whether to refuse a request instead of trying more engines.
 
     ``waited`` and ``target`` are in seconds.
@@ -32,7 +32,7 @@
     return waited > target * share
 
 
-class SecondTries:
+class RetryBudget:
     """Budget of retries for requests whose engine does not respond.
 
     Needed where an engine is gone without a connection reset.
@@ -60,6 +60,6 @@
         self._available = min(_MAX_RETRIES, self._available + retries)
 
 
-def any_free(others: Iterable[EngineView]) -> bool:
+def has_free_slot(others: Iterable[EngineView]) -> bool:
     """Return whether another engine has a free slot for a retry."""
     return any(view.free > 0 and not view.paused for view in others)
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -157,11 +157,11 @@
         ]
     )
     def test_too_late(self, _name, waited, unreachable, expected):
-        late = retry.too_late_to_offer(waited, 0.3, unreachable)
+        late = retry.too_late_to_retry(waited, 0.3, unreachable)
         self.assertEqual(expected, late)
 
     def test_second_tries_are_bounded(self):
-        tries = retry.SecondTries()
+        tries = retry.RetryBudget()
         taken = [tries.take(0.3) for _try in range(12)]
         self.assertEqual(10, len([one for one in taken if one]))
         tries.give_back()
@@ -176,7 +176,7 @@
         ]
     )
     def test_another_is_free(self, _name, others, expected):
-        self.assertEqual(expected, retry.any_free(others))
+        self.assertEqual(expected, retry.has_free_slot(others))
 
 
 class SurplusTest(unittest.TestCase):
