--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -15,9 +15,9 @@
 from bendlead_gateway._online.path import REFUSED, OnlinePath
 from bendlead_gateway._online.request_queue import RequestQueue
 from bendlead_gateway._scheduling.overload import (
+    OverloadDetector,
     ResourceUse,
-    Strain,
-    turns_away,
+    sheds_connections,
 )
 from bendlead_gateway._stopping import StopSchedule
 from bendlead_gateway._teams.limits import TeamLimits
@@ -104,7 +104,7 @@
             'client-not-taken', reason=reason
         )
         self._clients.bodies.most = int(settings.memory * _BODIES_SHARE)
-        self._strain = Strain()
+        self._strain = OverloadDetector()
         self._turns_away = False
         self._stop: StopSchedule | None = None
         self._ready = HttpServer(
@@ -206,7 +206,7 @@
             gevent.sleep(_STRAIN_SECONDS)
             late = max(0, clock.uptime() - due)
             room = ResourceUse(self._clients.bodies.used, self._clients.used)
-            if self._strain.look(late, room):
+            if self._strain.update(late, room):
                 self.log.event(
                     'strain',
                     strained=self._strain.strained,
@@ -216,7 +216,7 @@
                 )
             own = self._strain.strained
             others = self.peers.strained_in_hall() if own else ()
-            self._turns_away = turns_away(own=own, others=others)
+            self._turns_away = sheds_connections(own=own, others=others)
 
     def _knows_fleet(self) -> bool:
         known = self.fleet.configuration.known is not None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
@@ -10,9 +10,9 @@
 from msgspec import Struct
 
 #: Timer delay from which an entry counts as overloaded.
-LATE_SECONDS = 0.05
+LATE_TIMER_SECONDS = 0.05
 #: Share of memory or connections in use from which an entry is overloaded.
-FULL = 0.75
+HIGH_USE_SHARE = 0.75
 #: Hysteresis: overload ends below this share of the thresholds.
 _RECOVERY_SHARE = 0.4
 #: Low, so that one long step such as a configuration load is no overload.
@@ -26,25 +26,25 @@
     connections: float = 0
 
 
-class Strain(Struct):
+class OverloadDetector(Struct):
     """Overload detector by timer delay and resource use."""
 
     #: Moving average of the timer delay in seconds.
     late: float = 0
     strained: bool = False
 
-    def look(self, late: float, room: ResourceUse) -> bool:
+    def update(self, late: float, room: ResourceUse) -> bool:
         """Add a sample; return whether ``strained`` has changed."""
         self.late += (late - self.late) * _SMOOTHING
         used = max(room.memory, room.connections)
-        pressure = max(self.late / LATE_SECONDS, used / FULL)
+        pressure = max(self.late / LATE_TIMER_SECONDS, used / HIGH_USE_SHARE)
         previous = self.strained
         threshold = _RECOVERY_SHARE if previous else 1
         self.strained = pressure > threshold
         return self.strained is not previous
 
 
-def turns_away(*, own: bool, others: Sequence[bool]) -> bool:
+def sheds_connections(*, own: bool, others: Sequence[bool]) -> bool:
     """Return whether an overloaded entry sheds connections to its peers.
 
     It does not if half of the reachable peers are overloaded as well, or none
--- a/tests/test_gateway_overload.py
+++ b/tests/test_gateway_overload.py
@@ -7,11 +7,11 @@
 import gevent
 from bendlead_gateway._http.server import HttpServer
 from bendlead_gateway._scheduling.overload import (
-    FULL,
-    LATE_SECONDS,
+    HIGH_USE_SHARE,
+    LATE_TIMER_SECONDS,
+    OverloadDetector,
     ResourceUse,
-    Strain,
-    turns_away,
+    sheds_connections,
 )
 from bendlead_gateway.types import ClientLimits
 from bendlead_testing.ports import free_port
@@ -30,28 +30,33 @@
     @parameterized.expand(
         [
             ('rested', 0.002, ResourceUse(), False),
-            ('late', 3 * LATE_SECONDS, ResourceUse(), True),
-            ('memory_short', 0, ResourceUse(memory=FULL + 0.1), True),
-            ('connections_short', 0, ResourceUse(connections=FULL + 0.1), True),
+            ('late', 3 * LATE_TIMER_SECONDS, ResourceUse(), True),
+            ('memory_short', 0, ResourceUse(memory=HIGH_USE_SHARE + 0.1), True),
+            (
+                'connections_short',
+                0,
+                ResourceUse(connections=HIGH_USE_SHARE + 0.1),
+                True,
+            ),
             ('half_full', 0, ResourceUse(0.5, 0.5), False),
         ]
     )
     def test_steady(self, _name, late, room, strained):
-        strain = Strain()
+        strain = OverloadDetector()
         for _look in range(_LOOKS_A_SECOND):
-            strain.look(late, room)
+            strain.update(late, room)
         self.assertIs(strained, strain.strained)
 
     def test_one_long_step_is_no_strain(self):
-        strain = Strain()
-        strain.look(0.4, ResourceUse())
+        strain = OverloadDetector()
+        strain.update(0.4, ResourceUse())
         self.assertFalse(strain.strained)
 
     def test_ends_well_below_where_it_began(self):
-        strain = Strain()
-        strain.look(0, ResourceUse(memory=0.8))
-        self.assertFalse(strain.look(0, ResourceUse(memory=0.5)))
-        self.assertTrue(strain.look(0, ResourceUse(memory=0.2)))
+        strain = OverloadDetector()
+        strain.update(0, ResourceUse(memory=0.8))
+        self.assertFalse(strain.update(0, ResourceUse(memory=0.5)))
+        self.assertTrue(strain.update(0, ResourceUse(memory=0.2)))
         self.assertFalse(strain.strained)
 
     @parameterized.expand(
@@ -64,7 +69,7 @@
         ]
     )
     def test_turns_away(self, _name, own, others, away):
-        self.assertIs(away, turns_away(own=own, others=others))
+        self.assertIs(away, sheds_connections(own=own, others=others))
 
 
 class HeldBodiesTest(unittest.TestCase):
@@ -170,5 +175,5 @@
         self.assertEqual(200, head.status)
         self.assertIn(b'data: a', body)
         self.assertEqual(connection, head.find('connection'))
-        strained = used > FULL
+        strained = used > HIGH_USE_SHARE
         self.assertIs(strained, self.entry.report().strained)
