--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
@@ -5,17 +5,17 @@
 from msgspec import Struct
 
 from bendlead_gateway._fleet.balancer import Balancer
+from bendlead_gateway._scheduling.deferral import (
+    may_lack_slots,
+    refused_recently,
+    slots_for_urgent_items,
+)
 from bendlead_gateway._scheduling.places import (
     ItemPlaces,
     places_kept,
     surplus,
 )
 from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.refused import (
-    may_lack_places,
-    places_for_late,
-    refused_lately,
-)
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import Engine, EngineId, ServiceName
 
@@ -87,11 +87,11 @@
         ``refused_seconds`` is the time since the last refusal. Engines that
         take no new requests do not count.
         """
-        if not refused_lately(refused_seconds):
+        if not refused_recently(refused_seconds):
             return False
         engines = self._view(service).engines
         online = sum(engine.online for engine in engines)
-        return may_lack_places(online, _count_slots(engines))
+        return may_lack_slots(online, _count_slots(engines))
 
     def spare_slots(
         self, service: ServiceName, excluded: Container[EngineId]
@@ -110,7 +110,7 @@
     def urgent_slots(self, service: ServiceName) -> int:
         """Count the slots for urgent items while online requests lack slots."""
         slots = _count_slots(self._view(service).engines)
-        return places_for_late(slots, self._precedence.owners)
+        return slots_for_urgent_items(slots, self._precedence.owners)
 
     def _view(self, service: ServiceName) -> '_ServiceView':
         view = self._views.get(service)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -11,8 +11,8 @@
 from bendlead_gateway._jobs.held import HeldJob, Progress
 from bendlead_gateway._jobs.keeper import ShardKeeper
 from bendlead_gateway._metrics import Metrics
+from bendlead_gateway._scheduling.deferral import ItemTiming, item_timing
 from bendlead_gateway._scheduling.fair_order import FairOrder, ItemCost
-from bendlead_gateway._scheduling.refused import Wait, judge_wait
 from bendlead_gateway._scheduling.urgency import ItemPace, Urgency
 from bendlead_gateway._suspects.evidence import ITEM_SECONDS
 from bendlead_gateway.types import Route
@@ -106,9 +106,11 @@
         """Estimate the seconds that an item still needs on an engine."""
         return self._pace.left(progress.spent)
 
-    def wait_cost(self, job: HeldJob, progress: Progress, route: Route) -> Wait:
+    def wait_cost(
+        self, job: HeldJob, progress: Progress, route: Route
+    ) -> ItemTiming:
         """Return whether waiting would cost an item its target."""
-        return judge_wait(
+        return item_timing(
             self._pace.spare(
                 job_age_seconds(job),
                 progress.spent,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -11,8 +11,8 @@
 from bendlead_gateway._jobs.keeper import ShardKeeper
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
+from bendlead_gateway._scheduling.deferral import ItemTiming
 from bendlead_gateway._scheduling.moves import RunView, runs_to_move
-from bendlead_gateway._scheduling.refused import Wait
 from bendlead_gateway._scheduling.urgency import Urgency
 from bendlead_gateway.types import EngineId, Route, RouteKind, ServiceName
 
@@ -58,13 +58,13 @@
         self._move([run for run in active if not run.stopped], capacity)
 
     def may_start(
-        self, service: ServiceName, route: Route, wait: Wait, running: int
+        self, service: ServiceName, route: Route, wait: ItemTiming, running: int
     ) -> bool:
         """Return whether an item may start beside a service's running items."""
         state = self._states.of(service)
         if not state.held_back or not self._is_outranked(service, route):
             return True
-        return wait is Wait.NOW and running < state.urgent_slots
+        return wait is ItemTiming.NOW and running < state.urgent_slots
 
     def _stop_unwanted(self, runs: Sequence[ItemRun]) -> None:
         owned = self._keeper.boards.values()
@@ -115,7 +115,7 @@
             if not self._is_outranked(service, run.route):
                 continue
             wait = self._candidates.wait_cost(run.job, run.progress, run.route)
-            if wait is Wait.NOW and kept < state.urgent_slots:
+            if wait is ItemTiming.NOW and kept < state.urgent_slots:
                 kept += 1
             else:
                 self._stop(run, StopCause.HELD_BACK)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/refused.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/deferral.py
@@ -18,7 +18,7 @@
 _MIN_ONLINE_SHARE = 0.5
 
 
-class Wait(enum.Enum):
+class ItemTiming(enum.Enum):
     """Whether an item can be deferred."""
 
     #: It can still meet its target after a burst.
@@ -27,24 +27,28 @@
     NOW = 'now'
 
 
-def refused_lately(seconds: float) -> bool:
+def refused_recently(seconds: float) -> bool:
     """Return whether a refusal some seconds ago still counts."""
     return seconds < _RECENT_SECONDS
 
 
-def may_lack_places(online: int, slots: int) -> bool:
+def may_lack_slots(online: int, slots: int) -> bool:
     """Return whether requests may lack slots, by the number that run."""
     return online >= slots * _MIN_ONLINE_SHARE
 
 
-def judge_wait(spare: float) -> Wait:
+def item_timing(spare: float) -> ItemTiming:
     """Classify an item by the seconds between its completion and its target.
 
     An item without a target is not deferred, as it would wait without end.
     """
-    return Wait.LATER if _DEFERRABLE_SECONDS < spare < math.inf else Wait.NOW
+    return (
+        ItemTiming.LATER
+        if _DEFERRABLE_SECONDS < spare < math.inf
+        else ItemTiming.NOW
+    )
 
 
-def places_for_late(slots: int, owners: int) -> int:
+def slots_for_urgent_items(slots: int, owners: int) -> int:
     """Return the slots that each owner keeps for items not deferred."""
     return max(1, int(slots * _URGENT_SHARE / max(1, owners)))
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -3,16 +3,16 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
+from bendlead_gateway._scheduling.deferral import (
+    ItemTiming,
+    item_timing,
+    may_lack_slots,
+    refused_recently,
+    slots_for_urgent_items,
+)
 from bendlead_gateway._scheduling.placement import Traffic
 from bendlead_gateway._scheduling.places import ItemPlaces, places_kept, surplus
 from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.refused import (
-    Wait,
-    judge_wait,
-    may_lack_places,
-    places_for_late,
-    refused_lately,
-)
 from bendlead_gateway._scheduling.urgency import (
     LOOK_SECONDS,
     ItemPace,
@@ -151,15 +151,15 @@
         online = sum(one.online for one in views)
         lack = (
             self._load.holds_back
-            and refused_lately(refused)
-            and may_lack_places(online, slots)
+            and refused_recently(refused)
+            and may_lack_slots(online, slots)
         )
-        places = places_for_late(slots, self._precedence.owners)
+        places = slots_for_urgent_items(slots, self._precedence.owners)
         self._places_for_late = places if lack else None
         runs = [one for one in self.items if one.run]
         runs.sort(key=self._urgency)
         for item in runs if lack else ():
-            if places and self._wait(item) is Wait.NOW:
+            if places and self._wait(item) is ItemTiming.NOW:
                 places -= 1
             else:
                 self._stop(item)
@@ -170,11 +170,11 @@
         if most is None:
             return True
         running = sum(one.run is not None for one in self.items)
-        return running < most and self._wait(item) is Wait.NOW
+        return running < most and self._wait(item) is ItemTiming.NOW
 
-    def _wait(self, item: Item) -> Wait:
+    def _wait(self, item: Item) -> ItemTiming:
         age = self._clock.now - item.accepted
-        return judge_wait(
+        return item_timing(
             self._pace.spare(age, self._spent(item), self._load.item_due)
         )
 
--- a/tests/test_gateway_yielding_items.py
+++ b/tests/test_gateway_yielding_items.py
@@ -10,14 +10,14 @@
 import msgspec
 from bendlead_gateway._fleet import refusals as refusals_module
 from bendlead_gateway._fleet.refusals import Refusals
-from bendlead_gateway._scheduling.moves import RunView, runs_to_move
-from bendlead_gateway._scheduling.refused import (
-    Wait,
-    judge_wait,
-    may_lack_places,
-    places_for_late,
-    refused_lately,
+from bendlead_gateway._scheduling.deferral import (
+    ItemTiming,
+    item_timing,
+    may_lack_slots,
+    refused_recently,
+    slots_for_urgent_items,
 )
+from bendlead_gateway._scheduling.moves import RunView, runs_to_move
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -150,29 +150,29 @@
         ]
     )
     def test_lately(self, _name, seconds, expected):
-        self.assertEqual(expected, refused_lately(seconds))
+        self.assertEqual(expected, refused_recently(seconds))
 
     @parameterized.expand([('idle', 10, False), ('full', 40, True)])
     def test_false_report(self, _name, online, expected):
         """No one lacks places while half of them are free."""
-        self.assertEqual(expected, may_lack_places(online, 48))
+        self.assertEqual(expected, may_lack_slots(online, 48))
 
     @parameterized.expand(
         [
-            ('later', 9, Wait.LATER),
-            ('never_due', math.inf, Wait.NOW),
-            ('soon', 2, Wait.NOW),
-            ('too_late', -1, Wait.NOW),
+            ('later', 9, ItemTiming.LATER),
+            ('never_due', math.inf, ItemTiming.NOW),
+            ('soon', 2, ItemTiming.NOW),
+            ('too_late', -1, ItemTiming.NOW),
         ]
     )
     def test_wait(self, _name, spare, expected):
-        self.assertIs(expected, judge_wait(spare))
+        self.assertIs(expected, item_timing(spare))
 
     @parameterized.expand(
         [('alone', 160, 1, 16), ('several', 160, 4, 4), ('small', 8, 9, 1)]
     )
     def test_share(self, _name, slots, owners, expected):
-        self.assertEqual(expected, places_for_late(slots, owners))
+        self.assertEqual(expected, slots_for_urgent_items(slots, owners))
 
 
 class MovesTest(unittest.TestCase):
