--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
@@ -10,10 +10,10 @@
     refused_recently,
     slots_for_urgent_items,
 )
-from bendlead_gateway._scheduling.places import (
-    ItemPlaces,
-    places_kept,
-    surplus,
+from bendlead_gateway._scheduling.item_slots import (
+    ItemSlots,
+    reserved_slots,
+    runs_to_preempt,
 )
 from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.view import EngineView
@@ -67,9 +67,11 @@
         before = self._precedence.items_before(engine.engine)
         headroom = self._view(engine.service).headroom
         # The service's view leaves out engines that take no new requests.
-        return surplus(self._balancer.view(engine), runs, headroom, before)
+        return runs_to_preempt(
+            self._balancer.view(engine), runs, headroom, before
+        )
 
-    def free_slots(self, service: ServiceName) -> ItemPlaces:
+    def free_slots(self, service: ServiceName) -> ItemSlots:
         """Return the slots of a service that items may use."""
         view = self._view(service)
         led = {
@@ -77,7 +79,7 @@
             for engine in view.engines
             if self._precedence.leads(engine.name)
         }
-        return ItemPlaces(view.engines, view.headroom, led)
+        return ItemSlots(view.engines, view.headroom, led)
 
     def lacks_online_slots(
         self, service: ServiceName, refused_seconds: float
@@ -116,7 +118,7 @@
         view = self._views.get(service)
         if view is None:
             engines = self._balancer.views(service)
-            headroom = places_kept(engines, self._balancer.traffic)
+            headroom = reserved_slots(engines, self._balancer.traffic)
             view = _ServiceView(engines, headroom)
             self._views[service] = view
         return view
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -25,7 +25,7 @@
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.backlog import BacklogRates
-from bendlead_gateway._scheduling.places import ItemPlaces
+from bendlead_gateway._scheduling.item_slots import ItemSlots
 from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.urgency import ItemPace
 from bendlead_gateway._suspects.ends import Break
@@ -105,7 +105,7 @@
             self._wake.clear()
 
     def _start_runs(self, capacity: BatchCapacity) -> None:
-        free_slots: dict[ServiceName, ItemPlaces] = {}
+        free_slots: dict[ServiceName, ItemSlots] = {}
         running = Counter(run.engine.service for run in self._runs)
         full_routes: set[str] = set()
         tried_services: set[ServiceName] = set()
@@ -128,7 +128,7 @@
         candidate: Candidate,
         service: ServiceName,
         capacity: BatchCapacity,
-        free_slots: dict[ServiceName, ItemPlaces],
+        free_slots: dict[ServiceName, ItemSlots],
     ) -> bool:
         """Start an item in a free slot; return whether there was one."""
         if service not in free_slots:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/places.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/item_slots.py
@@ -20,10 +20,10 @@
 _MIN_UNSEEN = 0.3
 #: Further slots left where another owner has precedence: both may take the same
 #: slot before their reports arrive, and this owner's run would be preempted.
-LEFT_TO_FIRST = 1
+PRECEDENCE_HEADROOM = 1
 
 
-def places_kept(views: Sequence[EngineView], traffic: Traffic) -> int:
+def reserved_slots(views: Sequence[EngineView], traffic: Traffic) -> int:
     """Return the slots to keep on each engine for unseen requests."""
     if not views:
         return 0
@@ -31,7 +31,7 @@
     return int(unseen + 1 - _MIN_UNSEEN)
 
 
-class ItemPlaces:
+class ItemSlots:
     """Allocator of the idle slots at one moment.
 
     ``led`` are the engines on which this owner has precedence, ``None`` if on
@@ -69,10 +69,10 @@
         idle = view.free - self._kept
         if self._led is None or view.name in self._led:
             return idle
-        return idle - LEFT_TO_FIRST
+        return idle - PRECEDENCE_HEADROOM
 
 
-def surplus(
+def runs_to_preempt(
     view: EngineView, runs: int, kept: int = 0, items_before: int = 0
 ) -> int:
     """Return how many of this process's runs to preempt on an engine.
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -10,8 +10,12 @@
     refused_recently,
     slots_for_urgent_items,
 )
+from bendlead_gateway._scheduling.item_slots import (
+    ItemSlots,
+    reserved_slots,
+    runs_to_preempt,
+)
 from bendlead_gateway._scheduling.placement import Traffic
-from bendlead_gateway._scheduling.places import ItemPlaces, places_kept, surplus
 from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.urgency import (
     LOOK_SECONDS,
@@ -79,7 +83,7 @@
     def look(self) -> None:
         """Look for places, and again after each pause."""
         views = self._views()
-        kept = places_kept(views, self._traffic)
+        kept = reserved_slots(views, self._traffic)
         self._meet()
         self._step_aside(views, kept)
         self._hold_back(views)
@@ -139,7 +143,7 @@
                 if one.run and one.run.engine.engine is view.engine
             ]
             before = self._precedence.items_before(view.name)
-            over = surplus(view, len(mine), kept, before)
+            over = runs_to_preempt(view, len(mine), kept, before)
             mine.sort(key=self._urgency)
             for item in mine[len(mine) - over :]:
                 self._stop(item)
@@ -206,9 +210,9 @@
                 return
             self._start(item, view)
 
-    def _places(self, views: Sequence[EngineView], kept: int) -> ItemPlaces:
+    def _places(self, views: Sequence[EngineView], kept: int) -> ItemSlots:
         led = {one.name for one in views if self._precedence.leads(one.name)}
-        return ItemPlaces(views, kept, led)
+        return ItemSlots(views, kept, led)
 
     def _start(self, item: Item, view: EngineView) -> None:
         engine = self._fleet.engine(view.engine)
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -4,8 +4,8 @@
 from types import SimpleNamespace
 
 from bendlead_gateway._scheduling import admission, placement, retry
+from bendlead_gateway._scheduling.item_slots import ItemSlots, runs_to_preempt
 from bendlead_gateway._scheduling.placement import Traffic
-from bendlead_gateway._scheduling.places import ItemPlaces, surplus
 from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.urgency import ItemPace, Prospect, Urgency
 from bendlead_gateway._scheduling.view import EngineView
@@ -192,7 +192,7 @@
     )
     def test_surplus(self, _name, online, runs, kept, expected):
         view = _view('a', online, runs)
-        self.assertEqual(expected, surplus(view, runs, kept))
+        self.assertEqual(expected, runs_to_preempt(view, runs, kept))
 
     @parameterized.expand(
         [
@@ -203,7 +203,7 @@
     )
     def test_items_of_others(self, _name, before, runs, expected):
         view = _view('a', 3, runs + before)
-        self.assertEqual(expected, surplus(view, runs, 0, before))
+        self.assertEqual(expected, runs_to_preempt(view, runs, 0, before))
 
 
 class PrecedenceTest(unittest.TestCase):
@@ -267,7 +267,7 @@
     )
     def test_places(self, _name, online, batch, age, expected):
         view = EngineView(_ENGINE, online=online, batch=batch)
-        places = ItemPlaces([view])
+        places = ItemSlots([view])
         taken = 0
         while places.take(age):
             taken += 1
@@ -284,7 +284,7 @@
     def test_places_of_others(self, _name, batch, led, expected):
         """An item goes where those of no other owner go first, if it can."""
         views = [_view(name, 0, count) for name, count in batch.items()]
-        taken = ItemPlaces(views, led=led).take(0.9)
+        taken = ItemSlots(views, led=led).take(0.9)
         self.assertEqual(expected, taken.name if taken else None)
 
 
--- a/tests/test_gateway_traffic.py
+++ b/tests/test_gateway_traffic.py
@@ -4,8 +4,8 @@
 
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.pace import PaceTable
+from bendlead_gateway._scheduling.item_slots import reserved_slots
 from bendlead_gateway._scheduling.placement import Traffic
-from bendlead_gateway._scheduling.places import places_kept
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -56,7 +56,7 @@
     def test_places_kept(self, _name, run_seconds, delay, expected):
         views = [EngineView(_ENGINE, online=7)] * 3
         self.assertEqual(
-            expected, places_kept(views, Traffic(run_seconds, delay))
+            expected, reserved_slots(views, Traffic(run_seconds, delay))
         )
 
     def test_delay_is_learnt(self):
