--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
@@ -77,7 +77,7 @@
         led = {
             engine.name
             for engine in view.engines
-            if self._precedence.leads(engine.name)
+            if self._precedence.comes_first(engine.name)
         }
         return ItemSlots(view.engines, view.headroom, led)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -96,7 +96,7 @@
     def run(self) -> None:
         """Run scheduling rounds forever: stop runs, then start items."""
         while True:
-            self._precedence.meet(self._loads.item_owners())
+            self._precedence.update_others(self._loads.item_owners())
             capacity = BatchCapacity(self._fleet.balancer, self._precedence)
             self._stopper.check(self._runs, capacity)
             self._work.look(len(self._runs))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/precedence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/precedence.py
@@ -32,7 +32,7 @@
         self._others: Mapping[NodeName, OwnerItems] = {}
         self._preceding: dict[EngineId, list[NodeName]] = {}
 
-    def meet(self, others: Mapping[NodeName, OwnerItems]) -> None:
+    def update_others(self, others: Mapping[NodeName, OwnerItems]) -> None:
         """Replace the other owners that have items on engines."""
         if others.keys() != self._others.keys():
             self._preceding.clear()
@@ -43,7 +43,7 @@
         """Return the number of owners with items, including this one."""
         return len(self._others) + 1
 
-    def leads(self, engine: EngineId) -> bool:
+    def comes_first(self, engine: EngineId) -> bool:
         """Return whether this owner comes first on an engine."""
         return not self._owners_before(engine)
 
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -125,7 +125,7 @@
         """Take the items of the other owners, as they were."""
         names = [one.engine.engine for one in self._fleet.engines]
         past = self._fleet.past(self._load.age)
-        self._precedence.meet(
+        self._precedence.update_others(
             {
                 _owner_name(number): _OwnerItems(
                     dict(zip(names, counts, strict=True))
@@ -211,7 +211,9 @@
             self._start(item, view)
 
     def _places(self, views: Sequence[EngineView], kept: int) -> ItemSlots:
-        led = {one.name for one in views if self._precedence.leads(one.name)}
+        led = {
+            one.name for one in views if self._precedence.comes_first(one.name)
+        }
         return ItemSlots(views, kept, led)
 
     def _start(self, item: Item, view: EngineView) -> None:
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -219,7 +219,7 @@
             before = sorted(one.items_before(engine) for one in met.values())
             self.assertEqual([0, 2, 4], before)
         led = [
-            sum(one.leads(engine) for engine in self.engines)
+            sum(one.comes_first(engine) for engine in self.engines)
             for one in met.values()
         ]
         self.assertEqual(60, sum(led))
@@ -227,12 +227,12 @@
 
     def test_owner_alone_leads_everywhere(self):
         alone = self._meet(self.owners[0], [])
-        self.assertTrue(all(alone.leads(one) for one in self.engines))
+        self.assertTrue(all(alone.comes_first(one) for one in self.engines))
 
     def test_owner_that_ends_is_forgotten(self):
         one = self._meet(self.owners[0], self.owners)
         one.meet({})
-        self.assertTrue(all(one.leads(engine) for engine in self.engines))
+        self.assertTrue(all(one.comes_first(engine) for engine in self.engines))
         self.assertEqual(0, sum(map(one.items_before, self.engines)))
 
     def test_items_that_nobody_stops_hold_their_places(self):
