--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -129,7 +129,7 @@
         """Tell when the tokens that are too many will have been done."""
         headers = _FULL_RETRY_AFTER
         if self._configuration.asks_for_keys:
-            seconds = self._runner.backlog_rates.seconds(
+            seconds = self._runner.backlog_rates.estimate_seconds(
                 submission.host,
                 submission.team,
                 over,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -100,7 +100,7 @@
 
     def record_start(self, candidate: Candidate) -> None:
         """Charge an item that starts to its team."""
-        self._fair_order.begin(candidate.cost, clock.uptime())
+        self._fair_order.record_start(candidate.cost, clock.uptime())
 
     def remaining_seconds(self, progress: Progress) -> float:
         """Estimate the seconds that an item still needs on an engine."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -152,8 +152,8 @@
         return RunView(
             self._candidates.remaining_seconds(run.progress),
             run.silent_seconds,
-            leaving=not self._fleet.engines.takes_requests(engine),
-            alone=self._fleet.balancer.view(engine).paused,
+            draining=not self._fleet.engines.takes_requests(engine),
+            isolated=self._fleet.balancer.view(engine).paused,
         )
 
     def _update_state(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -252,7 +252,7 @@
         outcome: ItemOutcome,
     ) -> None:
         progress.finished = True
-        self.backlog_rates.finished(
+        self.backlog_rates.record_finished(
             job.host, job.team, progress.item.tokens, clock.uptime()
         )
         text = ''
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
@@ -28,16 +28,16 @@
     def __init__(self) -> None:
         self._finished = DecayedTokens[tuple[str, TeamName]]({})
 
-    def finished(
+    def record_finished(
         self, host: str, team: TeamName, tokens: int, now: float
     ) -> None:
         """Record the tokens of an item that left the backlog."""
         self._finished.add((host, team), tokens, now)
 
-    def seconds(
-        self, host: str, team: TeamName, over: int, now: float, chance: Chance
+    def estimate_seconds(
+        self, host: str, team: TeamName, excess: int, now: float, chance: Chance
     ) -> float:
-        """Estimate the seconds until ``over`` tokens of the backlog are done.
+        """Estimate the seconds until ``excess`` tokens of the backlog are done.
 
         The estimate is bounded and has a random part added.
         """
@@ -45,5 +45,5 @@
         if not recent:
             return _DEFAULT_SECONDS
         rate = recent * math.log(2) / HALF_LIFE_SECONDS
-        expected = min(max(over / rate, _MIN_SECONDS), _MAX_SECONDS)
+        expected = min(max(excess / rate, _MIN_SECONDS), _MAX_SECONDS)
         return expected * (1 + chance() * _JITTER_SHARE)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
@@ -36,7 +36,7 @@
         self._teams = DecayedTokens[TeamName]({})
         self._jobs = DecayedTokens[JobId]({})
 
-    def begin(self, turn: ItemCost, now: float) -> None:
+    def record_start(self, turn: ItemCost, now: float) -> None:
         """Record the start of an item run."""
         tokens = max(turn.tokens, MIN_TOKENS)
         self._teams.add(turn.team, tokens, now)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
@@ -21,14 +21,14 @@
 class RunView(Struct, frozen=True):
     """State of an item run and of its engine.
 
-    ``left`` is the estimated remaining time and ``silent`` the time since the
-    last event, both in seconds; ``silent`` is 0 before the first event.
+    ``remaining`` is the estimated run time left and ``silent`` the time since
+    the last event, both in seconds; ``silent`` is 0 before the first event.
     """
 
-    left: float
+    remaining: float
     silent: float = 0
-    leaving: bool = False
-    alone: bool = False
+    draining: bool = False
+    isolated: bool = False
 
     @property
     def stalled(self) -> bool:
@@ -38,8 +38,10 @@
     @property
     def endangered(self) -> bool:
         """Return whether the engine may end before the run completes."""
-        ending = self.leaving or (self.alone and self.silent > _QUIET_SECONDS)
-        return ending and self.left > _MIN_REMAINING_SECONDS
+        ending = self.draining or (
+            self.isolated and self.silent > _QUIET_SECONDS
+        )
+        return ending and self.remaining > _MIN_REMAINING_SECONDS
 
 
 def runs_to_move(runs: Sequence[RunView], idle: int) -> list[int]:
@@ -52,5 +54,5 @@
         for index, run in enumerate(runs)
         if run.endangered and not run.stalled
     ]
-    endangered.sort(key=lambda index: -runs[index].left)
+    endangered.sort(key=lambda index: -runs[index].remaining)
     return [*stalled, *endangered][: max(0, idle)]
--- a/tests/test_gateway_fair_order.py
+++ b/tests/test_gateway_fair_order.py
@@ -40,7 +40,7 @@
             for place in taken:
                 at, one = left[place]
                 begun[at] = number
-                self.turns.begin(one, float(number))
+                self.turns.record_start(one, float(number))
             left = [one for place, one in enumerate(left) if place not in taken]
         return begun
 
@@ -69,12 +69,12 @@
 
     def test_team_that_had_much_waits(self):
         for _item in range(5):
-            self.turns.begin(_turn(_LARGE), 1)
+            self.turns.record_start(_turn(_LARGE), 1)
         waiting = [_turn(_LARGE), _turn(_SMALL, 5), _turn(_SMALL, 6)]
         self.assertEqual([1, 2, 0], list(self.turns.order(waiting, 2)))
 
     def test_what_a_team_had_long_ago_is_forgotten(self):
-        self.turns.begin(_turn(_LARGE), 1)
+        self.turns.record_start(_turn(_LARGE), 1)
         waiting = [_turn(_LARGE), _turn(_SMALL, 5)]
         self.assertEqual([0, 1], list(self.turns.order(waiting, 500)))
 
@@ -98,7 +98,7 @@
         self.assertEqual(expected, list(self.turns.order(waiting, 1)))
 
     def test_jobs_due_alike_take_turns(self):
-        self.turns.begin(_turn(_LARGE, 0.1, name='a'), 1)
+        self.turns.record_start(_turn(_LARGE, 0.1, name='a'), 1)
         waiting = [
             _turn(_LARGE, 0.1, name='a'),
             _turn(_LARGE, 0.2, name='b'),
@@ -108,7 +108,7 @@
     def test_renamed_team_begins_anew(self):
         """Its items of before count for nobody; nobody waits for ever."""
         for _item in range(100):
-            self.turns.begin(_turn(_LARGE), 1)
+            self.turns.record_start(_turn(_LARGE), 1)
         renamed = TeamName('renamed')
         waiting = [_turn(_SMALL), *(_turn(renamed) for _item in range(50))]
         self.assertIn(0, list(self.turns.order(waiting, 1))[:2])
@@ -137,8 +137,8 @@
         """Tell the time after a rate of tokens a second for long."""
         rates = BacklogRates()
         for tenth in range(1000):
-            rates.finished(_HOST, _LARGE, rate // 10, tenth / 10)
-        return rates.seconds(_HOST, _LARGE, over, 100, lambda: 0)
+            rates.record_finished(_HOST, _LARGE, rate // 10, tenth / 10)
+        return rates.estimate_seconds(_HOST, _LARGE, over, 100, lambda: 0)
 
     @parameterized.expand(
         [
@@ -154,5 +154,7 @@
 
     def test_other_teams_do_not_count(self):
         rates = BacklogRates()
-        rates.finished(_HOST, _LARGE, 10**6, 1)
-        self.assertEqual(1, rates.seconds(_HOST, _SMALL, 10, 1, lambda: 0))
+        rates.record_finished(_HOST, _LARGE, 10**6, 1)
+        self.assertEqual(
+            1, rates.estimate_seconds(_HOST, _SMALL, 10, 1, lambda: 0)
+        )
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -249,7 +249,7 @@
     ):
         self.begin(max_queued_tokens=100)
         self.assertEqual(202, self.submit_as('team-1', 'j1', tokens=90))
-        self.node._runner.backlog_rates.finished(
+        self.node._runner.backlog_rates.record_finished(
             'a.example', 'team-1', tokens, clock.uptime()
         )
         refused = self.as_team('team-1', 'POST', '/x/j1', job(tokens=90), 'j2')
