--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._scheduling.placement import (
     Placement,
     Traffic,
-    choose,
+    choose_engine,
 )
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
@@ -76,11 +76,11 @@
             engine,
             online=self._loads.online(name) + found.failed_at_once,
             batch=self._loads.batch(name),
-            stuck=self._loads.unstoppable(name),
-            pace=self._pace.gap(name),
+            non_preemptible=self._loads.unstoppable(name),
+            event_gap=self._pace.gap(name),
             slowness=self._pace.slowness(engine),
             stall=self._pace.stall(engine),
-            near=engine.hall == self._hall,
+            same_hall=engine.hall == self._hall,
             silent=self._health.silent(name, busy_since),
             warming=self._engines.warming(engine),
             paused=paused,
@@ -104,7 +104,7 @@
             if tried_now is not None:
                 return Placement(tried_now, 0)
             views = list(preferred(views, once=once))
-        return choose(views, self.traffic, random.random)
+        return choose_engine(views, self.traffic, random.random)
 
     def take_trial(self, service: ServiceName) -> EngineView | None:
         """Take an engine that an item is to try now, if there is one."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from bendlead_gateway._scheduling.turns import FREE, Turn
-from bendlead_gateway._scheduling.view import Chance
+from bendlead_gateway._scheduling.view import RandomSource
 
 #: Share of the latency target that a request may spend waiting for a slot. The
 #: rest is for prompt processing, the first step and network latency.
@@ -53,7 +53,7 @@
 
 
 def judge(
-    asked: AdmissionRequest, wait: float, chance: Chance
+    asked: AdmissionRequest, wait: float, chance: RandomSource
 ) -> Refusal | None:
     """Return a refusal if the wait in seconds is too long, else ``None``."""
     if wait <= asked.longest_wait:
@@ -66,7 +66,9 @@
     )
 
 
-def _retry_after(asked: AdmissionRequest, wait: float, chance: Chance) -> float:
+def _retry_after(
+    asked: AdmissionRequest, wait: float, chance: RandomSource
+) -> float:
     """Draw the seconds after which a refused client should retry."""
     earliest = max(_MIN_RETRY_SECONDS, wait)
     latest = earliest + _SPREAD_SECONDS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
@@ -10,7 +10,7 @@
     HALF_LIFE_SECONDS,
     DecayedTokens,
 )
-from bendlead_gateway._scheduling.view import Chance
+from bendlead_gateway._scheduling.view import RandomSource
 from bendlead_gateway.types import TeamName
 
 #: Retry time while the completion rate of a team is unknown.
@@ -35,7 +35,12 @@
         self._finished.add((host, team), tokens, now)
 
     def estimate_seconds(
-        self, host: str, team: TeamName, excess: int, now: float, chance: Chance
+        self,
+        host: str,
+        team: TeamName,
+        excess: int,
+        now: float,
+        chance: RandomSource,
     ) -> float:
         """Estimate the seconds until ``excess`` tokens of the backlog are done.
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/placement.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/placement.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from bendlead_gateway._scheduling.view import Chance, EngineView
+from bendlead_gateway._scheduling.view import EngineView, RandomSource
 
 # Costs are in requests.
 #: Cost of preempting a batch item, plus a share for each online request there.
@@ -71,15 +71,15 @@
     wait: float
 
 
-def choose(
-    views: Sequence[EngineView], traffic: Traffic, chance: Chance
+def choose_engine(
+    views: Sequence[EngineView], traffic: Traffic, chance: RandomSource
 ) -> Placement | None:
     """Choose an engine for an online request, ``None`` without views."""
     # If all engines are paused, the fault is more likely on this side.
     usable = [view for view in views if not view.paused] or views
     if not usable:
         return None
-    reference = _Reference(_median_pace(usable), _max_slowness(usable))
+    reference = _Reference(_median_gap(usable), _max_slowness(usable))
     unseen = traffic.unseen(sum(view.online for view in views))
     # The fraction is rounded up or down at random.
     others = min(int(unseen + chance()), _MAX_ASSIGNED_PER_ENGINE * len(usable))
@@ -92,7 +92,7 @@
 
 
 def _assign(
-    candidates: Sequence['_Candidate'], others: int, chance: Chance
+    candidates: Sequence['_Candidate'], others: int, chance: RandomSource
 ) -> Sequence['_Assignment']:
     """Assign ``others`` requests and one more, each to the cheapest engine."""
     ranked = [
@@ -110,22 +110,22 @@
     return assigned
 
 
-def _median_pace(views: Sequence[EngineView]) -> float:
-    paces = sorted(view.pace for view in views)
-    return paces[len(paces) // 2]
+def _median_gap(views: Sequence[EngineView]) -> float:
+    gaps = sorted(view.event_gap for view in views)
+    return gaps[len(gaps) // 2]
 
 
 def _max_slowness(views: Sequence[EngineView]) -> float:
     """Return the greatest slowness, 0 if all engines are equally fast."""
     if all(view.slowness == 1 for view in views):
         return 0
-    return max(view.present_slowness for view in views)
+    return max(view.current_slowness for view in views)
 
 
 class _Reference(Struct, frozen=True):
     """Speeds that engines are compared with."""
 
-    median_pace: float
+    median_gap: float
     max_slowness: float
 
 
@@ -151,12 +151,12 @@
         load = _load(view)
         if view.silent:
             load += _SILENT_COST
-        if not view.near:
+        if not view.same_hall:
             load += _REMOTE_COST
         load /= view.slots
-        usual = self.reference.median_pace
-        if usual and view.pace > usual * _SLOW_FACTOR:
-            load *= view.pace / usual
+        usual = self.reference.median_gap
+        if usual and view.event_gap > usual * _SLOW_FACTOR:
+            load *= view.event_gap / usual
         if view.warming:
             load *= _WARMING_FACTOR
         return load
@@ -168,7 +168,7 @@
     def _cost_by_speed(self) -> float:
         """Return the cost where engines of the service differ in speed."""
         view = self.view
-        slowness = view.present_slowness
+        slowness = view.current_slowness
         if view.warming:
             slowness *= _WARMING_FACTOR
         share = _load(view) / view.slots
@@ -178,7 +178,7 @@
             share = 1 + (share - 1) * slowness
         if view.silent:
             share += _SILENT_COST / view.slots
-        if not view.near:
+        if not view.same_hall:
             share += _REMOTE_COST / view.slots
         return share
 
@@ -187,6 +187,6 @@
     """Return the cost by slots in use and queue length, in requests."""
     if view.free > 0:
         return view.online + view.batch + 1
-    online = view.online + view.stuck
+    online = view.online + view.non_preemptible
     load = view.slots + _PREEMPTION_COST + online * _ONLINE_SHARE
     return load + view.waiting * _QUEUED_COST
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/returns.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/returns.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.view import Chance
+from bendlead_gateway._scheduling.view import RandomSource
 from bendlead_gateway.types import TeamName
 
 #: Callers come back within at least this (s) of one another.
@@ -41,7 +41,7 @@
         self._now = now
         self._dealt: dict[TeamName, float] = {}
 
-    def deal(self, over: Over, chance: Chance) -> float:
+    def deal(self, over: Over, chance: RandomSource) -> float:
         """Give the seconds until a caller should come back."""
         now = self._now()
         first = max(now + over.wait, self._dealt.pop(over.team, 0.0))
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -25,7 +25,7 @@
 from bendlead_gateway._health.trial import TrialSchedule, Trier, rank
 from bendlead_gateway._health.verdict import Standing
 from bendlead_gateway._health.verdicts import Verdicts
-from bendlead_gateway._scheduling.placement import Traffic, choose
+from bendlead_gateway._scheduling.placement import Traffic, choose_engine
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -253,7 +253,7 @@
         view = trial
         if view is None:
             traffic = Traffic(_RUN_SECONDS, sum(self.load.news) / 2)
-            placed = choose(views, traffic, self._chance.random)
+            placed = choose_engine(views, traffic, self._chance.random)
             assert placed is not None
             view = placed.view
         self._run(entry, request, view.engine)
@@ -263,12 +263,12 @@
         near = engine.hall == entry.hall
         if self.way is Way.ALONE:
             paused = entry.health.paused(engine.engine)
-            return EngineView(engine, online, near=near, paused=paused)
+            return EngineView(engine, online, same_hall=near, paused=paused)
         found = entry.verdicts.finding(life_of(engine), self._now)
         return EngineView(
             engine,
             online + found.failed_at_once,
-            near=near,
+            same_hall=near,
             paused=found.out_of_rotation,
             doubted=found.standing is Standing.DOUBTED,
         )
--- a/testing/src/bendlead_testing/replay/_entries.py
+++ b/testing/src/bendlead_testing/replay/_entries.py
@@ -80,7 +80,7 @@
         load = self._load
         entry = self._draw_entry(asked.hall)
         views = self._views(entry, asked.hall)
-        chosen = placement.choose(
+        chosen = placement.choose_engine(
             views, self._traffic_at(entry), self._chance.random
         )
         assert chosen is not None
@@ -156,7 +156,7 @@
                 online=max(0, online[number] - own_then[one.engine.engine])
                 + own_now[one.engine.engine],
                 batch=batch[number],
-                near=one.engine.hall == hall_name(hall),
+                same_hall=one.engine.hall == hall_name(hall),
             )
             for number, one in enumerate(self._fleet.engines)
             if one in self._fleet.ready
@@ -178,7 +178,7 @@
         return [
             replace(
                 one,
-                pace=learning.pace(entry, one.name),
+                event_gap=learning.pace(entry, one.name),
                 slowness=learning.slowness(entry, one.engine),
                 stall=learning.stall(entry, one.engine),
             )
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -405,7 +405,9 @@
             for number, one in enumerate(self._fleet.engines)
             if one in self._fleet.ready
         ]
-        chosen = placement.choose(views, self._traffic, self._chance.random)
+        chosen = placement.choose_engine(
+            views, self._traffic, self._chance.random
+        )
         assert chosen is not None
         return chosen
 
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -8,7 +8,7 @@
 from bendlead_gateway._fleet.pace_news import PaceNews
 from bendlead_gateway._log import Log
 from bendlead_gateway._scheduling.findings import Finding, relative_slowness
-from bendlead_gateway._scheduling.placement import Traffic, choose
+from bendlead_gateway._scheduling.placement import Traffic, choose_engine
 from bendlead_gateway._scheduling.speed import EngineSpeeds
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
@@ -394,7 +394,7 @@
             EngineView(_engine('fast'), online=fast, slowness=0.8),
             EngineView(_engine('slow'), online=slow, slowness=1.95),
         ]
-        chosen = choose(views, Traffic(0.7, 0), lambda: 0.5)
+        chosen = choose_engine(views, Traffic(0.7, 0), lambda: 0.5)
         self.assertEqual(expected, chosen.view.name)
 
     @parameterized.expand(
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -49,8 +49,8 @@
     @parameterized.expand(
         [
             ('fewest', [_view('a', 3), _view('b', 1)], 'b'),
-            ('near', [_view('a', 1, near=False), _view('b', 2)], 'b'),
-            ('far', [_view('a', 0, near=False), _view('b', 4)], 'a'),
+            ('near', [_view('a', 1, same_hall=False), _view('b', 2)], 'b'),
+            ('far', [_view('a', 0, same_hall=False), _view('b', 4)], 'a'),
             ('paused', [_view('a', paused=True), _view('b', 6)], 'b'),
             ('all_paused', [_view('a', paused=True)], 'a'),
             ('silent', [_view('a', 1, silent=True), _view('b', 7)], 'b'),
@@ -58,9 +58,9 @@
             (
                 'slow',
                 [
-                    _view('a', 3, pace=2),
-                    _view('b', 5, pace=1),
-                    _view('c', 6, pace=1),
+                    _view('a', 3, event_gap=2),
+                    _view('b', 5, event_gap=1),
+                    _view('c', 6, event_gap=1),
                 ],
                 'b',
             ),
@@ -71,17 +71,19 @@
             ),
             (
                 'item_that_stays_is_waited_for',
-                [_view('a', 5, 3, stuck=3), _view('b', 7, 1)],
+                [_view('a', 5, 3, non_preemptible=3), _view('b', 7, 1)],
                 'b',
             ),
         ]
     )
     def test_nothing_unseen(self, _name, views, expected):
-        placed = placement.choose(views, _NOTHING_UNSEEN, _draws(0))
+        placed = placement.choose_engine(views, _NOTHING_UNSEEN, _draws(0))
         self.assertEqual(expected, placed.view.name)
 
     def test_no_engine(self):
-        self.assertIsNone(placement.choose([], _NOTHING_UNSEEN, _draws(0)))
+        self.assertIsNone(
+            placement.choose_engine([], _NOTHING_UNSEEN, _draws(0))
+        )
 
     def test_unseen_requests_fill_the_fleet_evenly(self):
         """Whoever knows the same takes each engine as often as places are."""
@@ -89,7 +91,7 @@
         # 14 requests of 0.7 s, news 0.2 s old: four that nobody knows of.
         traffic = Traffic(0.7, 0.2)
         taken = [
-            placement.choose(views, traffic, _draws(0, lot)).view.name
+            placement.choose_engine(views, traffic, _draws(0, lot)).view.name
             for lot in (0.1, 0.3, 0.5, 0.7, 0.9)
         ]
         self.assertNotIn('c', taken)
@@ -105,7 +107,7 @@
     def test_wait(self, _name, online, delay, expected):
         views = [_view('a', online), _view('b', online)]
         traffic = Traffic(0.8, delay)
-        placed = placement.choose(views, traffic, _draws(0))
+        placed = placement.choose_engine(views, traffic, _draws(0))
         self.assertAlmostEqual(expected, placed.wait)
 
     @parameterized.expand(
@@ -231,7 +233,7 @@
 
     def test_owner_that_ends_is_forgotten(self):
         one = self._meet(self.owners[0], self.owners)
-        one.meet({})
+        one.update_others({})
         self.assertTrue(all(one.comes_first(engine) for engine in self.engines))
         self.assertEqual(0, sum(map(one.items_before, self.engines)))
 
@@ -243,7 +245,7 @@
     def _meet(self, node, owners, quiet=False):
         made = Precedence(node)
         items = dict.fromkeys(self.engines, 2)
-        made.meet(
+        made.update_others(
             {
                 one: SimpleNamespace(batch=items, quiet=quiet)
                 for one in owners
