--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace.py
@@ -4,8 +4,8 @@
 
 from bendlead_store import clock
 
-from bendlead_gateway._scheduling.findings import Finding
 from bendlead_gateway._scheduling.speed import EngineSpeeds
+from bendlead_gateway._scheduling.speed_estimates import SpeedEstimate
 from bendlead_gateway.types import Engine, EngineId
 
 #: Weight of the newest value in a moving average.
@@ -17,10 +17,10 @@
 _EVENT_END = b'\n\n'
 
 #: Takes what this process found of an engine.
-OnFinding = Callable[[Engine, Finding], None]
+OnFinding = Callable[[Engine, SpeedEstimate], None]
 
 
-def _tell_nobody(engine: Engine, finding: Finding) -> None:
+def _tell_nobody(engine: Engine, finding: SpeedEstimate) -> None:
     """Keep what is found to this process."""
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_news.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_news.py
@@ -17,8 +17,11 @@
 from bendlead_gateway._fleet.catalog import EngineList
 from bendlead_gateway._fleet.pace import PaceTable
 from bendlead_gateway._log import Log
-from bendlead_gateway._scheduling.findings import ENOUGH_STREAMS, Finding
-from bendlead_gateway._scheduling.speed import LEAST_GAP, MOST_GAP
+from bendlead_gateway._scheduling.speed import MAX_GAP_SECONDS, MIN_GAP_SECONDS
+from bendlead_gateway._scheduling.speed_estimates import (
+    RELIABLE_STREAMS,
+    SpeedEstimate,
+)
 from bendlead_gateway.types import Engine, EngineId, NodeName
 
 _US = 1_000_000
@@ -28,7 +31,7 @@
 _MOST_TOLD = 32
 #: A finding is told when it comes from this many streams, when it has changed
 #: by more than this share, and anew after this long (s).
-_TELLING_STREAMS = frozenset((1, 3, ENOUGH_STREAMS))
+_TELLING_STREAMS = frozenset((1, 3, RELIABLE_STREAMS))
 _CHANGED_SHARE = 0.15
 _RENEW_SECONDS = 20.0
 #: Others who have found the same, and then nobody else needs to tell it.
@@ -44,7 +47,7 @@
     """Keep a finding that is to be told for a moment."""
 
     engine: Engine
-    finding: Finding
+    finding: SpeedEstimate
     until: float
 
 
@@ -102,24 +105,24 @@
         return {name: one for name, one in known.items() if one['gap_ms']}
 
     def _summarize(self, engine: Engine, now: float) -> dict[str, float]:
-        own = self._speeds.own(engine)
+        own = self._speeds.own_estimate(engine)
         return {
             'gap_ms': round(self._speeds.gap(engine, now) * 1000, 2),
             'slowness': round(self._speeds.slowness(engine, now), 2),
             'stall': round(self._speeds.stall(engine, now), 2),
             'own_streams': own.streams if own else 0,
-            'witnesses': len(self._speeds.findings(engine)),
+            'witnesses': len(self._speeds.peer_estimates(engine)),
         }
 
-    def _find(self, engine: Engine, finding: Finding) -> None:
+    def _find(self, engine: Engine, finding: SpeedEstimate) -> None:
         """Take what this process found."""
         self.counts['own'] += 1
         if self._worth_telling(engine, finding):
-            self._speeds.tell(engine, finding)
+            self._speeds.mark_sent(engine, finding)
             self._spread(engine, finding)
 
-    def _worth_telling(self, engine: Engine, finding: Finding) -> bool:
-        last = self._speeds.told(engine)
+    def _worth_telling(self, engine: Engine, finding: SpeedEstimate) -> bool:
+        last = self._speeds.last_sent(engine)
         if last is not None:
             renew = finding.at - last.at > _RENEW_SECONDS
             more = finding.streams in _TELLING_STREAMS
@@ -128,7 +131,7 @@
                 return False
         same = sum(
             one.weight >= finding.weight and _agree(one, finding)
-            for one in self._speeds.findings(engine).values()
+            for one in self._speeds.peer_estimates(engine).values()
             if finding.at - one.at < _RENEW_SECONDS
         )
         return same < _ENOUGH_WITNESSES
@@ -137,26 +140,27 @@
         """Take one finding; tell whether it makes sense."""
         gap = told.gap_us / _US
         sensible = (
-            LEAST_GAP <= gap <= MOST_GAP and 0 < told.streams <= _MOST_STREAMS
+            MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS
+            and 0 < told.streams <= _MOST_STREAMS
         )
         engine = self._engines.named(EngineId(told.engine))
         if not sensible or engine is None:
             return False
-        finding = Finding(gap, told.streams, now)
+        finding = SpeedEstimate(gap, told.streams, now)
         # It may be of a life that is over.
         same = told.born == engine.born
-        if same and self._speeds.hear(engine, witness, finding):
+        if same and self._speeds.add_peer_estimate(engine, witness, finding):
             self.counts['heard'] += 1
         return True
 
-    def _spread(self, engine: Engine, finding: Finding) -> None:
+    def _spread(self, engine: Engine, finding: SpeedEstimate) -> None:
         until = clock.uptime() + _TOLD_SECONDS
         self._news[engine.engine] = _News(engine, finding, until)
 
     def _tell_all(self) -> None:
         """Tell a peer that may know nothing what was found here."""
         for engine in self._engines.all():
-            told = self._speeds.told(engine)
+            told = self._speeds.last_sent(engine)
             if told is not None:
                 self._spread(engine, told)
 
@@ -175,7 +179,7 @@
         self._uneven = tuple(uneven)
 
 
-def _agree(one: Finding, other: Finding) -> bool:
+def _agree(one: SpeedEstimate, other: SpeedEstimate) -> bool:
     return abs(one.gap - other.gap) <= _CHANGED_SHARE * other.gap
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/estimators.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/estimators.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.findings import MAX_SLOWNESS
+from bendlead_gateway._scheduling.speed_estimates import MAX_SLOWNESS
 
 #: Decay factor of the regression sums for each observed stream.
 _SLOPE_DECAY = 0.98
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/speed.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/speed.py
@@ -12,9 +12,9 @@
 from msgspec import Struct, field
 
 from bendlead_gateway._scheduling.estimators import STALL_FACTOR, Slope, Stall
-from bendlead_gateway._scheduling.findings import (
-    ENOUGH_STREAMS,
-    Finding,
+from bendlead_gateway._scheduling.speed_estimates import (
+    RELIABLE_STREAMS,
+    SpeedEstimate,
     relative_slowness,
     weighted_median,
 )
@@ -27,8 +27,8 @@
 #: Estimates expire, as the peer may be gone or the engine may have changed.
 _EXPIRY_SECONDS = 60.0
 #: Times between events outside these bounds (s) are ignored.
-LEAST_GAP = 0.0001
-MOST_GAP = 30.0
+MIN_GAP_SECONDS = 0.0001
+MAX_GAP_SECONDS = 30.0
 #: Interval between comparisons of a service, and its increase for each engine:
 #: comparing takes time in proportion to the engines.
 _COMPARE_SECONDS = 0.25
@@ -40,12 +40,12 @@
 
     engine: Engine
     own: deque[float] = field(
-        default_factory=lambda: deque(maxlen=ENOUGH_STREAMS)
+        default_factory=lambda: deque(maxlen=RELIABLE_STREAMS)
     )
-    own_finding: Finding | None = None
+    own_estimate: SpeedEstimate | None = None
     #: The own estimate that peers were last sent.
-    told: Finding | None = None
-    others: dict[NodeName, Finding] = field(default_factory=dict)
+    last_sent: SpeedEstimate | None = None
+    peer_estimates: dict[NodeName, SpeedEstimate] = field(default_factory=dict)
     stall: Stall = field(default_factory=Stall)
 
     def gap(self, now: float) -> float:
@@ -53,24 +53,24 @@
 
         A reliable own estimate is used alone, else all recent ones.
         """
-        own = self.own_finding
-        if own is not None and own.streams >= ENOUGH_STREAMS:
+        own = self.own_estimate
+        if own is not None and own.streams >= RELIABLE_STREAMS:
             return own.gap
         return weighted_median(self._recent(now))
 
     def comparable_gap(self, now: float) -> float:
         """Return the same, or 0 if it is based on too few streams."""
-        streams = sum(finding.weight for finding in self._recent(now))
+        streams = sum(estimate.weight for estimate in self._recent(now))
         return self.gap(now) if streams >= _MIN_STREAMS else 0.0
 
-    def _recent(self, now: float) -> list[Finding]:
+    def _recent(self, now: float) -> list[SpeedEstimate]:
         recent = [
-            finding
-            for finding in self.others.values()
-            if now - finding.at < _EXPIRY_SECONDS
+            estimate
+            for estimate in self.peer_estimates.values()
+            if now - estimate.at < _EXPIRY_SECONDS
         ]
-        if self.own_finding is not None:
-            recent.append(self.own_finding)
+        if self.own_estimate is not None:
+            recent.append(self.own_estimate)
         return recent
 
 
@@ -109,12 +109,12 @@
 
     def observe_stream(
         self, engine: Engine, gap: float, running: int, now: float
-    ) -> Finding | None:
+    ) -> SpeedEstimate | None:
         """Add a stream's mean time between events; return the new estimate.
 
         ``gap`` is in seconds; one out of bounds is ignored.
         """
-        if not LEAST_GAP <= gap <= MOST_GAP:
+        if not MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS:
             return None
         service, record = self._get_or_add(engine)
         further = _further(engine, running)
@@ -122,11 +122,11 @@
         if usual:
             service.slope.observe(gap / usual - 1, further)
         record.own.append(gap / service.slope.factor(further))
-        previous = record.own_finding
+        previous = record.own_estimate
         streams = previous.streams + 1 if previous else 1
-        record.own_finding = Finding(median(record.own), streams, now)
+        record.own_estimate = SpeedEstimate(median(record.own), streams, now)
         service.changed = True
-        return record.own_finding
+        return record.own_estimate
 
     def observe_event(
         self, engine: Engine, gap: float, running: int, now: float
@@ -138,17 +138,23 @@
             usual *= service.slope.factor(_further(engine, running))
             record.stall.observe(gap / usual, now)
 
-    def hear(self, engine: Engine, witness: NodeName, found: Finding) -> bool:
+    def add_peer_estimate(
+        self, engine: Engine, peer: NodeName, estimate: SpeedEstimate
+    ) -> bool:
         """Add a peer's estimate; return whether it is new and was kept."""
         service, record = self._get_or_add(engine)
-        previous = record.others.get(witness)
-        record.others[witness] = found
-        if previous is not None and previous.same(found):
+        previous = record.peer_estimates.get(peer)
+        record.peer_estimates[peer] = estimate
+        if previous is not None and previous.same(estimate):
             return False
-        if len(record.others) > _MAX_PEERS:
-            record.others.pop(min(record.others, key=_weight_in(record.others)))
+        if len(record.peer_estimates) > _MAX_PEERS:
+            record.peer_estimates.pop(
+                min(
+                    record.peer_estimates, key=_weight_in(record.peer_estimates)
+                )
+            )
         service.changed = True
-        return witness in record.others
+        return peer in record.peer_estimates
 
     def slowness(self, engine: Engine, now: float) -> float:
         """Return the run time relative to the usual one, 1 if unknown."""
@@ -171,24 +177,26 @@
         current = record.stall.current(now) if record else 1.0
         return current if current >= STALL_FACTOR else 1.0
 
-    def findings(self, engine: Engine) -> Mapping[NodeName, Finding]:
+    def peer_estimates(
+        self, engine: Engine
+    ) -> Mapping[NodeName, SpeedEstimate]:
         """Return the estimates of peers."""
         record = self._find(engine)
-        return record.others if record else {}
+        return record.peer_estimates if record else {}
 
-    def own(self, engine: Engine) -> Finding | None:
+    def own_estimate(self, engine: Engine) -> SpeedEstimate | None:
         """Return the estimate of this process."""
         record = self._find(engine)
-        return record.own_finding if record else None
+        return record.own_estimate if record else None
 
-    def told(self, engine: Engine) -> Finding | None:
+    def last_sent(self, engine: Engine) -> SpeedEstimate | None:
         """Return the own estimate that peers were last sent."""
         record = self._find(engine)
-        return record.told if record else None
+        return record.last_sent if record else None
 
-    def tell(self, engine: Engine, finding: Finding) -> None:
+    def mark_sent(self, engine: Engine, estimate: SpeedEstimate) -> None:
         """Record the own estimate that is sent to peers."""
-        self._get_or_add(engine)[1].told = finding
+        self._get_or_add(engine)[1].last_sent = estimate
 
     def gap(self, engine: Engine, now: float) -> float:
         """Return the time between events in seconds, 0 if unknown."""
@@ -232,9 +240,9 @@
 
 
 def _weight_in(
-    findings: Mapping[NodeName, Finding],
+    estimates: Mapping[NodeName, SpeedEstimate],
 ) -> Callable[[NodeName], tuple[int, float]]:
-    return lambda name: (findings[name].weight, findings[name].at)
+    return lambda name: (estimates[name].weight, estimates[name].at)
 
 
 def _further(engine: Engine, running: int) -> float:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/findings.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/speed_estimates.py
@@ -8,7 +8,7 @@
 from bendlead_gateway.types import EngineId
 
 #: Streams after which an estimate is reliable, as most of them see no stall.
-ENOUGH_STREAMS = 7
+RELIABLE_STREAMS = 7
 #: The engines of a service count as equally fast unless at least this share of
 #: them differs from the median by more than the factor.
 _UNEVEN_SHARE = 0.2
@@ -18,7 +18,7 @@
 MAX_SLOWNESS = 4.0
 
 
-class Finding(Struct, frozen=True):
+class SpeedEstimate(Struct, frozen=True):
     """Speed estimate of one process for one incarnation of an engine.
 
     ``gap`` is the time in seconds between two events while half of the slots
@@ -33,9 +33,9 @@
     @property
     def weight(self) -> int:
         """Return the weight relative to estimates of other processes."""
-        return min(self.streams, ENOUGH_STREAMS)
+        return min(self.streams, RELIABLE_STREAMS)
 
-    def same(self, other: 'Finding') -> bool:
+    def same(self, other: 'SpeedEstimate') -> bool:
         """Return whether another estimate differs at most in its time."""
         return (self.gap, self.streams) == (other.gap, other.streams)
 
@@ -65,12 +65,12 @@
     }
 
 
-def weighted_median(findings: Iterable[Finding]) -> float:
-    """Return the weighted median of the gaps, 0 without findings."""
-    ordered = sorted(findings, key=lambda finding: finding.gap)
-    remaining = sum(finding.weight for finding in ordered) / 2
-    for finding in ordered:
-        remaining -= finding.weight
+def weighted_median(estimates: Iterable[SpeedEstimate]) -> float:
+    """Return the weighted median of the gaps, 0 without estimates."""
+    ordered = sorted(estimates, key=lambda estimate: estimate.gap)
+    remaining = sum(estimate.weight for estimate in ordered) / 2
+    for estimate in ordered:
+        remaining -= estimate.weight
         if remaining <= 0:
-            return finding.gap
+            return estimate.gap
     return 0.0
--- a/testing/src/bendlead_testing/replay/_learning.py
+++ b/testing/src/bendlead_testing/replay/_learning.py
@@ -3,8 +3,8 @@
 from collections.abc import Sequence
 
 from bendlead_gateway._fleet.pace import PaceTable
-from bendlead_gateway._scheduling.findings import Finding
 from bendlead_gateway._scheduling.speed import EngineSpeeds
+from bendlead_gateway._scheduling.speed_estimates import SpeedEstimate
 from bendlead_gateway.types import Engine, EngineId, NodeName
 from msgspec.structs import replace
 
@@ -84,7 +84,7 @@
         engine = self._life(engine)
         return self._speeds[entry].stall(engine, self._clock.now)
 
-    def _tell(self, entry: int, engine: Engine, found: Finding) -> None:
+    def _tell(self, entry: int, engine: Engine, found: SpeedEstimate) -> None:
         uneven = self._uneven
         now = self._clock.now
         if uneven.unheard_from <= now < uneven.unheard_until:
@@ -110,7 +110,7 @@
     others: Sequence[EngineSpeeds],
     engine: Engine,
     witness: NodeName,
-    found: Finding,
+    found: SpeedEstimate,
 ) -> None:
     for one in others:
-        one.hear(engine, witness, found)
+        one.add_peer_estimate(engine, witness, found)
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -7,9 +7,12 @@
 from bendlead_gateway._fleet.pace import PaceTable, StreamPace
 from bendlead_gateway._fleet.pace_news import PaceNews
 from bendlead_gateway._log import Log
-from bendlead_gateway._scheduling.findings import Finding, relative_slowness
 from bendlead_gateway._scheduling.placement import Traffic, choose_engine
 from bendlead_gateway._scheduling.speed import EngineSpeeds
+from bendlead_gateway._scheduling.speed_estimates import (
+    SpeedEstimate,
+    relative_slowness,
+)
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -163,8 +166,8 @@
         self.engine = _engine('a')
 
     def _hear(self, witness: str, gap: float, streams: int = 7) -> None:
-        found = Finding(gap, streams, 1)
-        self.speeds.hear(self.engine, NodeName(witness), found)
+        found = SpeedEstimate(gap, streams, 1)
+        self.speeds.add_peer_estimate(self.engine, NodeName(witness), found)
 
     def test_one_witness_of_three_is_wrong(self):
         for witness, gap in (('x', 0.02), ('y', 0.021), ('z', 5)):
@@ -183,7 +186,7 @@
     def test_witnesses_are_bounded(self):
         for number in range(50):
             self._hear(f'entry-{number}', 0.02, number + 1)
-        self.assertEqual(4, len(self.speeds.findings(self.engine)))
+        self.assertEqual(4, len(self.speeds.peer_estimates(self.engine)))
 
     def test_witness_that_starts_again(self):
         self._hear('x', 0.02, 9)
