--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.deferral import ItemTiming, item_timing
 from bendlead_gateway._scheduling.fair_order import FairOrder, ItemCost
-from bendlead_gateway._scheduling.urgency import ItemPace, Urgency
+from bendlead_gateway._scheduling.urgency import ItemDurations, Urgency
 from bendlead_gateway._suspects.evidence import ITEM_SECONDS
 from bendlead_gateway.types import Route
 
@@ -64,7 +64,7 @@
         self,
         keeper: ShardKeeper,
         fleet: Fleet,
-        pace: ItemPace,
+        pace: ItemDurations,
         metrics: Metrics,
         give_up: GiveUp,
     ) -> None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -27,7 +27,7 @@
 from bendlead_gateway._scheduling.backlog import BacklogRates
 from bendlead_gateway._scheduling.item_slots import ItemSlots
 from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.urgency import ItemPace
+from bendlead_gateway._scheduling.urgency import ItemDurations
 from bendlead_gateway._suspects.ends import Break
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
@@ -61,7 +61,7 @@
         self._executor = ItemExecutor(dialect, fleet)
         self._log = log
         self._metrics = metrics
-        self._pace = ItemPace()
+        self._pace = ItemDurations()
         self._precedence = Precedence(node)
         self._runs: set[ItemRun] = set()
         self._wake = Event()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/work.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/work.py
@@ -5,13 +5,16 @@
 from bendlead_store import clock
 
 from bendlead_gateway._jobs.keeper import ShardKeeper
-from bendlead_gateway._scheduling.urgency import LOOK_SECONDS, ItemPace
+from bendlead_gateway._scheduling.urgency import (
+    UPDATE_INTERVAL_SECONDS,
+    ItemDurations,
+)
 
 
 class WorkWatch:
     """Look at all unfinished items now and then: each costs a moment."""
 
-    def __init__(self, keeper: ShardKeeper, pace: ItemPace) -> None:
+    def __init__(self, keeper: ShardKeeper, pace: ItemDurations) -> None:
         self._keeper = keeper
         self._pace = pace
         self._look_again_at = 0.0
@@ -20,8 +23,8 @@
         """Tell the pace what is left if the last look is some time ago."""
         now = clock.uptime()
         if now >= self._look_again_at:
-            self._look_again_at = now + LOOK_SECONDS
-            self._pace.look(self._spent(), running)
+            self._look_again_at = now + UPDATE_INTERVAL_SECONDS
+            self._pace.update_work(self._spent(), running)
 
     def _spent(self) -> Iterator[float]:
         """List the seconds that each unfinished item has held places."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
@@ -19,7 +19,7 @@
 #: Upper bound of the stretch, as a long preemption tells little of later ones.
 _MAX_STRETCH = 3.0
 #: Interval between updates of the remaining work.
-LOOK_SECONDS = 0.25
+UPDATE_INTERVAL_SECONDS = 0.25
 #: Smoothing factor of the slots in use; its window is longer than a burst.
 _SLOTS_SMOOTHING = 0.05
 #: Overload: the remaining work takes this many times the target of an item.
@@ -42,7 +42,7 @@
     accepted_at: float
 
 
-class ItemPace:
+class ItemDurations:
     """Moving averages of item run time and of its stretch by preemptions."""
 
     def __init__(self) -> None:
@@ -56,7 +56,7 @@
         """Return the mean run time of a complete item in seconds."""
         return self._seconds
 
-    def look(self, spent: Iterable[float], held: int) -> None:
+    def update_work(self, spent: Iterable[float], held: int) -> None:
         """Update the remaining work and the slots in use.
 
         ``spent`` is the run time so far of each incomplete item, in seconds.
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -18,8 +18,8 @@
 from bendlead_gateway._scheduling.placement import Traffic
 from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.urgency import (
-    LOOK_SECONDS,
-    ItemPace,
+    UPDATE_INTERVAL_SECONDS,
+    ItemDurations,
     Urgency,
 )
 from bendlead_gateway._scheduling.view import EngineView
@@ -75,7 +75,7 @@
         self._tally = tally
         self._traffic = Traffic(load.run, load.age)
         self._precedence = Precedence(_owner_name(number))
-        self._pace = ItemPace()
+        self._pace = ItemDurations()
         self.items: list[Item] = []
         self._look_again_at = 0.0
         self._places_for_late: int | None = None
@@ -94,10 +94,10 @@
     def _look_at_work(self) -> None:
         if self._clock.now < self._look_again_at:
             return
-        self._look_again_at = self._clock.now + LOOK_SECONDS
+        self._look_again_at = self._clock.now + UPDATE_INTERVAL_SECONDS
         unfinished = [one for one in self.items if one.whole is None]
         held = sum(one.run is not None for one in unfinished)
-        self._pace.look([self._spent(one) for one in unfinished], held)
+        self._pace.update_work([self._spent(one) for one in unfinished], held)
 
     def _spent(self, item: Item) -> float:
         running = self._held(item.run) if item.run is not None else 0
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -7,7 +7,11 @@
 from bendlead_gateway._scheduling.item_slots import ItemSlots, runs_to_preempt
 from bendlead_gateway._scheduling.placement import Traffic
 from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.urgency import ItemPace, Prospect, Urgency
+from bendlead_gateway._scheduling.urgency import (
+    ItemDurations,
+    Prospect,
+    Urgency,
+)
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -304,7 +308,7 @@
         ],
     )
     def test_prospect(self, _name, age, spent, target, expected):
-        urgency = ItemPace().urgency(0, age, spent, target)
+        urgency = ItemDurations().urgency(0, age, spent, target)
         self.assertEqual(expected, urgency.prospect)
 
     def test_order(self):
@@ -319,7 +323,7 @@
         self.assertEqual([3, 4, 2, 1], [one.accepted_at for one in ranked])
 
     def test_pace_is_learnt(self):
-        pace = ItemPace()
+        pace = ItemDurations()
         for _item in range(60):
             pace.observe(8)
         self.assertAlmostEqual(8, pace.seconds, delta=0.1)
@@ -334,10 +338,10 @@
     )
     def test_stops_are_learnt(self, _name, took, age, spent, expected):
         """A new item that will be stopped again needs more than its run."""
-        pace = ItemPace()
+        pace = ItemDurations()
         for _item in range(60):
             pace.observe(5, took)
-        pace.look([0] * 100, 5)
+        pace.update_work([0] * 100, 5)
         urgency = pace.urgency(0, age, spent, 18)
         self.assertEqual(expected, urgency.prospect)
 
@@ -355,20 +359,20 @@
         self, _name, spent, held, expected
     ):
         """Elsewhere places that they leave stay idle in the next gap."""
-        pace = ItemPace()
+        pace = ItemDurations()
         for _item in range(60):
             pace.observe(5, 10)
-        pace.look(spent, held)
+        pace.update_work(spent, held)
         self.assertEqual(expected, pace.urgency(0, 10, 0, 18).prospect)
 
     def test_places_are_counted_over_bursts_and_gaps(self):
         """A burst that takes all places for a moment is no lack of them."""
-        pace = ItemPace()
+        pace = ItemDurations()
         for _item in range(60):
             pace.observe(5, 10)
         for _look in range(100):
-            pace.look([0] * 30, 10)
-        pace.look([0] * 30, 0)
+            pace.update_work([0] * 30, 10)
+        pace.update_work([0] * 30, 0)
         self.assertEqual(Prospect.LIKELY, pace.urgency(0, 10, 0, 18).prospect)
 
 
