--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -10,14 +10,14 @@
 from bendlead_gateway._http.messages import ServerEndsError
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._online.exchange import Exchange
-from bendlead_gateway._scheduling.turns import Turn
-from bendlead_gateway._scheduling.waiting import (
-    Patience,
+from bendlead_gateway._scheduling.queue_policy import (
     QueuedRequest,
-    WaitingRules,
-    last_moment,
+    QueuePolicy,
+    RetryDetector,
+    latest_send_time,
     should_queue,
 )
+from bendlead_gateway._scheduling.turns import Turn
 from bendlead_gateway.types import RouteKind, ServiceName, Team, TeamName
 
 #: Interval of the checks for free slots while requests are queued.
@@ -53,8 +53,8 @@
         self._metrics = metrics
         self._now = now
         #: By name of the route.
-        self._patience: dict[str, Patience] = {}
-        self._rules: dict[ServiceName, WaitingRules] = {}
+        self._patience: dict[str, RetryDetector] = {}
+        self._rules: dict[ServiceName, QueuePolicy] = {}
         self._results: dict[QueuedRequest, AsyncResult] = {}
         self._tasks: dict[ServiceName, gevent.Greenlet] = {}
 
@@ -68,7 +68,7 @@
 
     def is_ahead_of(self, service: ServiceName, turn: Turn) -> bool:
         """Return whether a queued request goes before a new one."""
-        return self._rules_of(service).first_before(turn)
+        return self._rules_of(service).is_ahead_of(turn)
 
     def finished(self, service: ServiceName) -> None:
         """Record that a request of this process has freed its slot."""
@@ -80,7 +80,7 @@
         if queued is None:
             return 'first attempt or deadline too near'
         rules = self._rules_of(service)
-        reason = rules.reason_against(queued)
+        reason = rules.rejection_reason(queued)
         if reason is not None:
             self._metrics.load.held['not_held'] += 1
             return reason
@@ -90,11 +90,11 @@
         """Return the queue entry, or ``None`` if it must not be queued."""
         route = exchange.route
         stream = route.kind is RouteKind.STREAM
-        last_send = last_moment(
+        last_send = latest_send_time(
             exchange.request.received, exchange.deadline, route.target, stream
         )
-        patience = self._patience.setdefault(route.name, Patience())
-        if not patience.came_back(exchange.facts.patience, route.timeout):
+        patience = self._patience.setdefault(route.name, RetryDetector())
+        if not patience.is_retry(exchange.facts.patience, route.timeout):
             return None
         now = self._now()
         if not should_queue(last_send - now, route.target):
@@ -113,7 +113,7 @@
     def _wait_for_slot(
         self, exchange: Exchange, queued: QueuedRequest, service: ServiceName
     ) -> str | None:
-        self._rules_of(service).enter(queued)
+        self._rules_of(service).add(queued)
         self._results[queued] = AsyncResult()
         self._start_releasing(service)
         try:
@@ -122,20 +122,20 @@
             # No engine has run it, so it can be refused.
             reason = 'process is stopping'
         finally:
-            exchange.queued_seconds += self._now() - queued.came
+            exchange.queued_seconds += self._now() - queued.queued_at
             self._remove(queued, service)
         self._metrics.load.held['given_up' if reason else 'released'] += 1
         return reason
 
     def _remove(self, queued: QueuedRequest, service: ServiceName) -> None:
         """Remove a request that was released, refused or abandoned."""
-        self._rules_of(service).leave(queued)
+        self._rules_of(service).remove(queued)
         self._results.pop(queued)
 
-    def _rules_of(self, service: ServiceName) -> WaitingRules:
+    def _rules_of(self, service: ServiceName) -> QueuePolicy:
         rules = self._rules.get(service)
         if rules is None:
-            rules = WaitingRules(self._now)
+            rules = QueuePolicy(self._now)
             self._rules[service] = rules
         return rules
 
@@ -147,14 +147,14 @@
     def _release_all(self, service: ServiceName) -> None:
         """Release requests until the queue of the service is empty."""
         rules = self._rules_of(service)
-        while rules.held:
+        while rules.queued:
             self._release_next(service, rules)
             gevent.sleep(_POLL_SECONDS)
 
-    def _release_next(self, service: ServiceName, rules: WaitingRules) -> None:
-        for queued in rules.held:
+    def _release_next(self, service: ServiceName, rules: QueuePolicy) -> None:
+        for queued in rules.queued:
             queued.turn = self._shares.turn(self._team_named(queued.team))
-        for unlikely in rules.hopeless():
+        for unlikely in rules.expired():
             self._wake(rules, unlikely, 'no slot expected before its deadline')
         wait = self._wait_of(service)
         released = None if wait is None else rules.release(wait)
@@ -162,8 +162,8 @@
             self._wake(rules, released, None)
 
     def _wake(
-        self, rules: WaitingRules, queued: QueuedRequest, reason: str | None
+        self, rules: QueuePolicy, queued: QueuedRequest, reason: str | None
     ) -> None:
         """Wake the greenlet of a request; ``reason`` is that of a refusal."""
-        rules.leave(queued)
+        rules.remove(queued)
         self._results[queued].set(reason)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/waiting.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
@@ -47,13 +47,13 @@
 class QueuedRequest(Struct, eq=False):
     """Request that waits for a slot; times in seconds.
 
-    ``until`` is the latest time to send it to an engine; ``priority`` is that
+    ``send_by`` is the latest time to send it to an engine; ``priority`` is that
     of its team, then that of its route.
     """
 
     team: TeamName
-    came: float
-    until: float
+    queued_at: float
+    send_by: float
     target: float
     priority: tuple[int, int] = (0, 0)
     turn: Turn = FREE
@@ -65,12 +65,12 @@
         return AdmissionRequest(self.target, None, self.turn).longest_wait
 
 
-class Patience(Struct):
+class RetryDetector(Struct):
     """Longest client timeout seen on a route, in seconds."""
 
     longest: float = 0
 
-    def came_back(self, patience: float | None, timeout: float) -> bool:
+    def is_retry(self, patience: float | None, timeout: float) -> bool:
         """Return whether the remaining timeout shows a retried request."""
         if patience is None:
             return False
@@ -78,7 +78,7 @@
         return patience < self.longest * _RETRY_TIMEOUT_SHARE
 
 
-def last_moment(
+def latest_send_time(
     received: float, deadline: float, target: float, stream: bool
 ) -> float:
     """Return the latest time to send a request to an engine."""
@@ -92,9 +92,9 @@
     return left >= target * _MIN_TARGETS_LEFT
 
 
-def rank(held: Iterable[QueuedRequest]) -> Sequence[QueuedRequest]:
+def rank(queued: Iterable[QueuedRequest]) -> Sequence[QueuedRequest]:
     """Sort requests by wait factor, priority and time left."""
-    return sorted(held, key=_sort_key)
+    return sorted(queued, key=_sort_key)
 
 
 class _DecayingCount(Struct):
@@ -113,12 +113,12 @@
         return self.total * math.exp((self.at - now) / _RATE_SECONDS)
 
 
-class WaitingRules:
+class QueuePolicy:
     """Queue of an entry: admission, order, release and expiry."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._held: dict[QueuedRequest, None] = {}
+        self._queued: dict[QueuedRequest, None] = {}
         self._bytes = 0
         self._credit = 0.0
         self._freed = _DecayingCount()
@@ -127,9 +127,9 @@
         self._given = _DecayingCount()
 
     @property
-    def held(self) -> Sequence[QueuedRequest]:
+    def queued(self) -> Sequence[QueuedRequest]:
         """Return the queued requests in order."""
-        return rank(self._held)
+        return rank(self._queued)
 
     @property
     def rate(self) -> float:
@@ -140,23 +140,23 @@
         share = min(1, given / offered)
         return self._freed.current(now) / _RATE_SECONDS * share
 
-    def first_before(self, turn: Turn) -> bool:
+    def is_ahead_of(self, turn: Turn) -> bool:
         """Return whether queued requests precede a new one."""
-        return any(queued.turn.part >= turn.part for queued in self._held)
+        return any(queued.turn.part >= turn.part for queued in self._queued)
 
-    def reason_against(self, asked: QueuedRequest) -> str | None:
+    def rejection_reason(self, asked: QueuedRequest) -> str | None:
         """Return why a request can't be queued, ``None`` if it can."""
         if asked.turn.part < _MIN_WAIT_FACTOR:
             return 'its team is over its share'
-        of_team = sum(queued.team == asked.team for queued in self._held)
+        of_team = sum(queued.team == asked.team for queued in self._queued)
         if of_team >= _MAX_QUEUED_PER_TEAM:
             return f'{of_team} requests of the team are queued'
-        if len(self._held) >= _MAX_QUEUED:
-            return f'{len(self._held)} requests are queued'
+        if len(self._queued) >= _MAX_QUEUED:
+            return f'{len(self._queued)} requests are queued'
         if self._bytes + asked.size > _MAX_QUEUED_BYTES:
             return f'{self._bytes} bytes of request bodies are queued'
         ahead = sum(
-            _sort_key(queued) <= _sort_key(asked) for queued in self._held
+            _sort_key(queued) <= _sort_key(asked) for queued in self._queued
         )
         if not self._is_likely(asked, ahead):
             return (
@@ -164,46 +164,46 @@
             )
         return None
 
-    def enter(self, held: QueuedRequest) -> None:
+    def add(self, queued: QueuedRequest) -> None:
         """Add a request to the queue."""
-        self._held[held] = None
-        self._bytes += held.size
+        self._queued[queued] = None
+        self._bytes += queued.size
 
-    def leave(self, held: QueuedRequest) -> None:
+    def remove(self, queued: QueuedRequest) -> None:
         """Remove a request from the queue, if it is still there."""
-        if held in self._held:
-            self._held.pop(held)
-            self._bytes -= held.size
+        if queued in self._queued:
+            self._queued.pop(queued)
+            self._bytes -= queued.size
 
     def finished(self) -> None:
         """Record that a request of this entry has ended and freed its slot."""
         now = self._now()
         self._freed.add(now, 1)
         self._credit = min(_MAX_CREDIT, self._credit + 1)
-        if self._held:
+        if self._queued:
             self._offered.add(now, 1)
 
     def release(self, wait: float) -> QueuedRequest | None:
         """Remove and return the first request that may wait so many seconds."""
         if self._credit < 1:
             return None
-        for queued in self.held:
+        for queued in self.queued:
             if wait <= queued.longest_wait:
-                self.leave(queued)
+                self.remove(queued)
                 self._credit -= 1
                 self._given.add(self._now(), 1)
                 return queued
         return None
 
-    def hopeless(self) -> Sequence[QueuedRequest]:
+    def expired(self) -> Sequence[QueuedRequest]:
         """Return the queued requests unlikely to get a slot in time."""
         now = self._now()
         expired: list[QueuedRequest] = []
         ahead = 0
-        for queued in self.held:
+        for queued in self.queued:
             # The first stays until its deadline; later ones are given up once
             # the rate of freed slots is too low for them.
-            left = queued.until - now
+            left = queued.send_by - now
             if left <= 0 or (ahead + 1) / max(self.rate, 1 / left) > left:
                 expired.append(queued)
             else:
@@ -211,9 +211,9 @@
         return expired
 
     def _is_likely(self, asked: QueuedRequest, ahead: int) -> bool:
-        left = (asked.until - self._now()) * _EXPECTED_WAIT_SHARE
+        left = (asked.send_by - self._now()) * _EXPECTED_WAIT_SHARE
         return left > 0 and ahead + 1 <= self.rate * left
 
 
 def _sort_key(queued: QueuedRequest) -> tuple[float, tuple[int, int], float]:
-    return -queued.turn.part, queued.priority, queued.until
+    return -queued.turn.part, queued.priority, queued.send_by
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -14,13 +14,13 @@
 from typing import NamedTuple
 
 from bendlead_gateway._scheduling import admission, placement
-from bendlead_gateway._scheduling.turns import Turn
-from bendlead_gateway._scheduling.view import EngineView
-from bendlead_gateway._scheduling.waiting import (
+from bendlead_gateway._scheduling.queue_policy import (
     QueuedRequest,
-    WaitingRules,
+    QueuePolicy,
     rank,
 )
+from bendlead_gateway._scheduling.turns import Turn
+from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._teams.limits import TeamLimits
 from bendlead_gateway._teams.quota import Group
 from bendlead_gateway._teams.shares import TeamShares
@@ -205,7 +205,7 @@
             life,
             self.shares,
         )
-        self.rules = WaitingRules(clock)
+        self.rules = QueuePolicy(clock)
         self.waiting: dict[QueuedRequest, _Asked] = {}
         self.looking = False
 
@@ -358,7 +358,7 @@
         left = self._left(asked)
         turn = entry.shares.turn(team) if entry.shares else Turn()
         chosen = self._choose()
-        behind = entry.rules.first_before(turn)
+        behind = entry.rules.is_ahead_of(turn)
         question = admission.AdmissionRequest(load.aim, left, turn, behind)
         refusal = admission.judge(question, chosen.wait, self._chance.random)
         if refusal is None:
@@ -451,9 +451,9 @@
             (team.priority, 0),
             turn,
         )
-        if entry.rules.reason_against(held) is not None:
+        if entry.rules.rejection_reason(held) is not None:
             return False
-        entry.rules.enter(held)
+        entry.rules.add(held)
         entry.waiting[held] = asked
         self.tally.most_held = max(self.tally.most_held, len(entry.waiting))
         if not entry.looking:
@@ -462,7 +462,7 @@
         return True
 
     def _look(self, entry: _Entry) -> None:
-        for held in entry.rules.hopeless():
+        for held in entry.rules.expired():
             self._leave(entry, held)
         first = rank(entry.waiting)
         if first:
@@ -475,7 +475,7 @@
             self._clock.after(_LOOK_SECONDS, lambda: self._look(entry))
 
     def _leave(self, entry: _Entry, held: QueuedRequest) -> None:
-        entry.rules.leave(held)
+        entry.rules.remove(held)
         asked = entry.waiting.pop(held)
-        self.tally.held_for_nothing += self.uptime() - held.came
+        self.tally.held_for_nothing += self.uptime() - held.queued_at
         self._refuse(entry, asked, 0.1)
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -4,14 +4,14 @@
 
 import gevent
 from bendlead_gateway._scheduling.admission import AdmissionRequest, judge
-from bendlead_gateway._scheduling.turns import Turn
-from bendlead_gateway._scheduling.waiting import (
-    Patience,
+from bendlead_gateway._scheduling.queue_policy import (
     QueuedRequest,
-    WaitingRules,
-    last_moment,
+    QueuePolicy,
+    RetryDetector,
+    latest_send_time,
     should_queue,
 )
+from bendlead_gateway._scheduling.turns import Turn
 from bendlead_gateway.types import TeamName
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -32,7 +32,7 @@
 
     def setUp(self):
         self.now = 100.0
-        self.rules = WaitingRules(lambda: self.now)
+        self.rules = QueuePolicy(lambda: self.now)
 
     def held(self, team='t', until=1.5, **changed):
         """Make a request that may be held for some seconds."""
@@ -48,8 +48,8 @@
     def hold(self, *requests):
         """Hold requests that may be held."""
         for one in requests:
-            self.assertIsNone(self.rules.reason_against(one))
-            self.rules.enter(one)
+            self.assertIsNone(self.rules.rejection_reason(one))
+            self.rules.add(one)
 
     @parameterized.expand(
         [
@@ -62,9 +62,9 @@
         ],
     )
     def test_came_back(self, _name, others, patience, expected):
-        known = Patience()
-        self.assertFalse(known.came_back(others, 5))
-        self.assertIs(expected, known.came_back(patience, 5))
+        known = RetryDetector()
+        self.assertFalse(known.is_retry(others, 5))
+        self.assertIs(expected, known.is_retry(patience, 5))
 
     @parameterized.expand(
         [('far', 1.7, True), ('near', 0.8, False), ('over', -1, False)],
@@ -73,17 +73,21 @@
         self.assertIs(expected, should_queue(left, 0.3))
 
     def test_a_stream_is_not_awaited_longer_than_its_reader_waits(self):
-        self.assertAlmostEqual(101.7, last_moment(100, 105, 0.3, stream=True))
-        self.assertAlmostEqual(104.7, last_moment(100, 105, 0.3, stream=False))
+        self.assertAlmostEqual(
+            101.7, latest_send_time(100, 105, 0.3, stream=True)
+        )
+        self.assertAlmostEqual(
+            104.7, latest_send_time(100, 105, 0.3, stream=False)
+        )
 
     def test_nobody_is_held_where_no_place_comes_free(self):
-        self.assertIsNotNone(self.rules.reason_against(self.held()))
+        self.assertIsNotNone(self.rules.rejection_reason(self.held()))
 
     def test_as_many_as_are_likely_to_be_served(self):
         self.free_places(6)
         count = 0
-        while self.rules.reason_against(self.held(f't{count}')) is None:
-            self.rules.enter(self.held(f't{count}'))
+        while self.rules.rejection_reason(self.held(f't{count}')) is None:
+            self.rules.add(self.held(f't{count}'))
             count += 1
         self.assertIn(count, range(1, 6))
 
@@ -94,7 +98,7 @@
         urgent = self.held('c', priority=(-1, 0))
         first = self.held('d', 1.2)
         self.hold(last, later, first, urgent)
-        self.assertEqual([urgent, first, later, last], self.rules.held)
+        self.assertEqual([urgent, first, later, last], self.rules.queued)
 
     def test_the_first_goes_on_and_only_as_places_come_free(self):
         self.free_places(100)
@@ -107,13 +111,13 @@
 
     def test_a_team_over_its_share_is_not_held(self):
         self.free_places(100)
-        self.assertIsNotNone(self.rules.reason_against(self.held(turn=_OVER)))
+        self.assertIsNotNone(self.rules.rejection_reason(self.held(turn=_OVER)))
 
     def test_new_ones_stay_behind_those_that_came_back(self):
         self.free_places(100)
-        self.assertFalse(self.rules.first_before(Turn()))
+        self.assertFalse(self.rules.is_ahead_of(Turn()))
         self.hold(self.held())
-        self.assertTrue(self.rules.first_before(Turn()))
+        self.assertTrue(self.rules.is_ahead_of(Turn()))
         behind = AdmissionRequest(0.3, 5, Turn(), behind=True)
         self.assertIsNotNone(judge(behind, 0.15, lambda: 0.5))
         self.assertIsNone(judge(AdmissionRequest(0.3, 5), 0.15, lambda: 0.5))
@@ -122,11 +126,11 @@
         self.free_places(20)
         held = [self.held() for _request in range(4)]
         self.hold(*held)
-        self.assertEqual([], self.rules.hopeless())
+        self.assertEqual([], self.rules.expired())
         self.now += 1.2
-        self.assertTrue(self.rules.hopeless())
+        self.assertTrue(self.rules.expired())
         self.now += 0.4
-        self.assertEqual(held, self.rules.hopeless())
+        self.assertEqual(held, self.rules.expired())
 
     @given(
         st.lists(
@@ -138,17 +142,17 @@
     )
     @settings(max_examples=50, deadline=None)
     def test_bounded_in_count_and_bytes(self, asked):
-        rules = WaitingRules(lambda: 100.0)
+        rules = QueuePolicy(lambda: 100.0)
         for _place in range(5000):
             rules.finished()
         for team, size in asked:
             one = QueuedRequest(TeamName(team), 100, 102, 0.3, size=size)
-            if rules.reason_against(one) is None:
-                rules.enter(one)
-        teams = [one.team for one in rules.held]
+            if rules.rejection_reason(one) is None:
+                rules.add(one)
+        teams = [one.team for one in rules.queued]
         self.assertLessEqual(max(map(teams.count, teams), default=0), 8)
         self.assertLessEqual(len(teams), 64)
-        self.assertLessEqual(sum(one.size for one in rules.held), 4_194_304)
+        self.assertLessEqual(sum(one.size for one in rules.queued), 4_194_304)
 
 
 class RoomTest(EntryCase):
