--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
@@ -4,7 +4,7 @@
 from msgspec import Struct, field
 
 from bendlead_gateway._http.messages import Request, Responder
-from bendlead_gateway._scheduling.turns import FREE, Turn
+from bendlead_gateway._scheduling.team_shares import UNCONTESTED, ShareUse
 from bendlead_gateway._suspects.digest import RequestDigest, digest_request
 from bendlead_gateway.types import EngineId, RequestFacts, Route, TeamName
 
@@ -44,7 +44,7 @@
     failure: str = '-'
     quarantined: bool = False
     #: The team's use of its share at the latest admission check.
-    turn: Turn = FREE
+    turn: ShareUse = UNCONTESTED
     #: Time spent in the request queue.
     queued_seconds: float = 0
     #: Whether it was queued and then admitted.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -287,9 +287,9 @@
     }
     if exchange.queued_seconds:
         fields['held_ms'] = round(exchange.queued_seconds * 1000, 1)
-    if outcome == REFUSED and exchange.turn.had:
+    if outcome == REFUSED and exchange.turn.used:
         # Recent requests of its team, and its share of them.
-        fields['had'] = round(exchange.turn.had, 2)
+        fields['had'] = round(exchange.turn.used, 2)
         fields['share'] = round(exchange.turn.share, 2)
     if exchange.runs or exchange.quarantined:
         # Unlike the id, the digest is the same when the client retries.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -17,7 +17,7 @@
     latest_send_time,
     should_queue,
 )
-from bendlead_gateway._scheduling.turns import Turn
+from bendlead_gateway._scheduling.team_shares import ShareUse
 from bendlead_gateway.types import RouteKind, ServiceName, Team, TeamName
 
 #: Interval of the checks for free slots while requests are queued.
@@ -27,7 +27,7 @@
 class FairShares(Protocol):
     """Source of the use that teams make of their shares."""
 
-    def turn(self, team: Team | None) -> Turn:
+    def turn(self, team: Team | None) -> ShareUse:
         """Return the team's recent requests and its share."""
 
 
@@ -66,7 +66,7 @@
             counts[queued.team] = counts.get(queued.team, 0) + 1
         return counts
 
-    def is_ahead_of(self, service: ServiceName, turn: Turn) -> bool:
+    def is_ahead_of(self, service: ServiceName, turn: ShareUse) -> bool:
         """Return whether a queued request goes before a new one."""
         return self._rules_of(service).is_ahead_of(turn)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.turns import FREE, Turn
+from bendlead_gateway._scheduling.team_shares import UNCONTESTED, ShareUse
 from bendlead_gateway._scheduling.view import RandomSource
 
 #: Share of the latency target that a request may spend waiting for a slot. The
@@ -39,7 +39,7 @@
 
     target: float
     patience: float | None = None
-    turn: Turn = FREE
+    turn: ShareUse = UNCONTESTED
     behind: bool = False
 
     @property
@@ -49,7 +49,7 @@
         The wait is shorter for a team that exceeds its share.
         """
         share = _BEHIND_SHARE if self.behind else _WAIT_SHARE
-        return self.target * share * self.turn.part
+        return self.target * share * self.turn.wait_factor
 
 
 def judge(
@@ -58,7 +58,7 @@
     """Return a refusal if the wait in seconds is too long, else ``None``."""
     if wait <= asked.longest_wait:
         return None
-    yields = asked.turn.over or asked.behind
+    yields = asked.turn.over_share or asked.behind
     cause = 'others go first' if yields else 'all slots taken'
     return Refusal(
         f'{cause}, {wait:.3f} s to wait',
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from bendlead_gateway._scheduling.admission import AdmissionRequest
-from bendlead_gateway._scheduling.turns import FREE, Turn
+from bendlead_gateway._scheduling.team_shares import UNCONTESTED, ShareUse
 from bendlead_gateway.types import TeamName
 
 #: A request is a retry if its timeout is below this share of the longest one of
@@ -56,7 +56,7 @@
     send_by: float
     target: float
     priority: tuple[int, int] = (0, 0)
-    turn: Turn = FREE
+    turn: ShareUse = UNCONTESTED
     size: int = 0
 
     @property
@@ -140,13 +140,16 @@
         share = min(1, given / offered)
         return self._freed.current(now) / _RATE_SECONDS * share
 
-    def is_ahead_of(self, turn: Turn) -> bool:
+    def is_ahead_of(self, turn: ShareUse) -> bool:
         """Return whether queued requests precede a new one."""
-        return any(queued.turn.part >= turn.part for queued in self._queued)
+        return any(
+            queued.turn.wait_factor >= turn.wait_factor
+            for queued in self._queued
+        )
 
     def rejection_reason(self, asked: QueuedRequest) -> str | None:
         """Return why a request can't be queued, ``None`` if it can."""
-        if asked.turn.part < _MIN_WAIT_FACTOR:
+        if asked.turn.wait_factor < _MIN_WAIT_FACTOR:
             return 'its team is over its share'
         of_team = sum(queued.team == asked.team for queued in self._queued)
         if of_team >= _MAX_QUEUED_PER_TEAM:
@@ -216,4 +219,4 @@
 
 
 def _sort_key(queued: QueuedRequest) -> tuple[float, tuple[int, int], float]:
-    return -queued.turn.part, queued.priority, queued.send_by
+    return -queued.turn.wait_factor, queued.priority, queued.send_by
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/turns.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/team_shares.py
@@ -29,30 +29,30 @@
     priority: int = 0
 
 
-class Turn(Struct, frozen=True):
+class ShareUse(Struct, frozen=True):
     """Recent use and share of a team, in requests."""
 
-    had: float = 0
+    used: float = 0
     share: float = math.inf
 
     @property
-    def over(self) -> bool:
+    def over_share(self) -> bool:
         """Return whether the team exceeds its share."""
-        return self.had > self.share
+        return self.used > self.share
 
     @property
-    def part(self) -> float:
+    def wait_factor(self) -> float:
         """Return the factor of the longest wait up to which it is admitted."""
-        if not self.over:
+        if not self.over_share:
             return 1
-        return max(_MIN_WAIT_FACTOR, (self.share / self.had) ** _WAIT_EXPONENT)
+        return max(_MIN_WAIT_FACTOR, (self.share / self.used) ** _WAIT_EXPONENT)
 
 
 #: Without competing teams, or without data.
-FREE = Turn()
+UNCONTESTED = ShareUse()
 
 
-def shares(usages: Sequence[TeamUsage]) -> Mapping[int, float]:
+def shares_by_priority(usages: Sequence[TeamUsage]) -> Mapping[int, float]:
     """Return the share per unit of weight, in requests, by priority."""
     by_class: dict[int, list[TeamUsage]] = {}
     for usage in usages:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
@@ -7,7 +7,12 @@
 from bendlead_store import clock
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.turns import FREE, TeamUsage, Turn, shares
+from bendlead_gateway._scheduling.team_shares import (
+    UNCONTESTED,
+    ShareUse,
+    TeamUsage,
+    shares_by_priority,
+)
 from bendlead_gateway.types import Team, TeamName
 
 #: What a team had counts less by a factor of e after each of these (s): whoever
@@ -65,10 +70,10 @@
             if requests:
                 self.add(name, requests * part)
 
-    def turn(self, team: Team | None) -> Turn:
+    def turn(self, team: Team | None) -> ShareUse:
         """Tell how a team stands to its share now."""
         if team is None:
-            return FREE
+            return UNCONTESTED
         return self._turn(team, self._scale(), self._current())
 
     def summary(self) -> dict[TeamName, dict[str, float]]:
@@ -86,15 +91,15 @@
                 shown[name]['share'] = round(turn.share / LATELY_SECONDS, 2)
         return shown
 
-    def _turn(self, team: Team, scale: float, found: _Found) -> Turn:
+    def _turn(self, team: Team, scale: float, found: _Found) -> ShareUse:
         share = found.by_priority.get(team.priority)
         if share is None:
-            return Turn(self._sums.get(team.name, 0.0) / scale)
+            return ShareUse(self._sums.get(team.name, 0.0) / scale)
         # Of the same moment as the share: in a burst that rises, a lone team
         # would be over what it had a moment ago.
         had = found.had.get(team.name, 0.0)
         weight = team.rate or found.usual_weight
-        return Turn(had, share * weight + _NOT_COUNTED)
+        return ShareUse(had, share * weight + _NOT_COUNTED)
 
     def _scale(self) -> float:
         """Give what a request counts that comes now."""
@@ -118,7 +123,7 @@
     def _find(self, now: float) -> _Found:
         known = self._beyond(_NOT_COUNTED)
         usual = _usual_weight(team for team, _had in known)
-        found = shares(
+        found = shares_by_priority(
             [
                 TeamUsage(had, team.rate or usual, team.priority)
                 for team, had in known
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -19,7 +19,7 @@
     QueuePolicy,
     rank,
 )
-from bendlead_gateway._scheduling.turns import Turn
+from bendlead_gateway._scheduling.team_shares import ShareUse
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._teams.limits import TeamLimits
 from bendlead_gateway._teams.quota import Group
@@ -143,11 +143,11 @@
         self._all = load.engines * load.slots / load.run
         self._weights = sum(one.rate or 1 for one in load.teams)
 
-    def turn(self, team: Team | None) -> Turn:
+    def turn(self, team: Team | None) -> ShareUse:
         """Compare with a fixed part of all places."""
         assert team is not None
         had = self._sums.get(team.name, 0.0) / self._scale()
-        return Turn(had, self._all * (team.rate or 1) / self._weights + 2)
+        return ShareUse(had, self._all * (team.rate or 1) / self._weights + 2)
 
 
 class _Lag(_Places):
@@ -162,13 +162,13 @@
         level = max(0, min(level, rate + 4))
         self._sums[team] = (level, self._now())  # type: ignore[assignment]
 
-    def turn(self, team: Team | None) -> Turn:
+    def turn(self, team: Team | None) -> ShareUse:
         """Compare with a quarter of a second of the share."""
         assert team is not None
         self.add(team.name, 0)
         level, _at = self._sums[team.name]  # type: ignore[misc]
         rate = self._all * (team.rate or 1) / self._weights
-        return Turn(level, rate / 4 + 2)
+        return ShareUse(level, rate / 4 + 2)
 
 
 _SHARES = {Way.AVERAGE: TeamShares, Way.PLACES: _Places, Way.LAG: _Lag}
@@ -356,7 +356,7 @@
             self._come_back(asked, later, 'over_limit')
             return
         left = self._left(asked)
-        turn = entry.shares.turn(team) if entry.shares else Turn()
+        turn = entry.shares.turn(team) if entry.shares else ShareUse()
         chosen = self._choose()
         behind = entry.rules.is_ahead_of(turn)
         question = admission.AdmissionRequest(load.aim, left, turn, behind)
@@ -438,7 +438,7 @@
 
     # What is held at an entry.
 
-    def _hold(self, entry: _Entry, asked: _Asked, turn: Turn) -> bool:
+    def _hold(self, entry: _Entry, asked: _Asked, turn: ShareUse) -> bool:
         team = self.load.teams[asked.team]
         until = self.uptime() + min(
             self._left(asked), _SILENCE_SECONDS - self.load.aim
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -4,7 +4,12 @@
 from dataclasses import replace
 
 from bendlead_gateway._scheduling.admission import AdmissionRequest, judge
-from bendlead_gateway._scheduling.turns import FREE, TeamUsage, Turn, shares
+from bendlead_gateway._scheduling.team_shares import (
+    UNCONTESTED,
+    ShareUse,
+    TeamUsage,
+    shares_by_priority,
+)
 from bendlead_gateway._teams.limits import TeamLimits
 from bendlead_gateway._teams.quota import Group
 from bendlead_gateway._teams.shares import TeamShares
@@ -69,7 +74,7 @@
     )
     def test_over(self, _name, teams, over):
         usages = [TeamUsage(*one) for one in teams]
-        of_class = shares(usages)
+        of_class = shares_by_priority(usages)
         found = [
             one.requests > of_class[one.priority] * one.weight * 1.001
             for one in usages
@@ -78,11 +83,17 @@
 
     def test_a_class_keeps_a_floor(self):
         """All of the less urgent are over, and none is left with nothing."""
-        self.assertEqual(10, shares([TeamUsage(90, 1), TeamUsage(10, 1, 1)])[1])
-        self.assertEqual(10, shares([TeamUsage(60, 1), TeamUsage(40, 1, 1)])[1])
+        self.assertEqual(
+            10, shares_by_priority([TeamUsage(90, 1), TeamUsage(10, 1, 1)])[1]
+        )
+        self.assertEqual(
+            10, shares_by_priority([TeamUsage(60, 1), TeamUsage(40, 1, 1)])[1]
+        )
 
     def test_a_few_urgent_requests_cut_others_by_little(self):
-        self.assertEqual(80, shares([TeamUsage(10, 1), TeamUsage(90, 1, 1)])[1])
+        self.assertEqual(
+            80, shares_by_priority([TeamUsage(10, 1), TeamUsage(90, 1, 1)])[1]
+        )
 
     @given(
         st.lists(
@@ -97,9 +108,9 @@
     @settings(max_examples=300, deadline=None)
     def test_who_is_below_its_share_is_refused_last(self, teams, wait):
         had = [TeamUsage(*one) for one in teams]
-        of_class = shares(had)
+        of_class = shares_by_priority(had)
         turns = [
-            Turn(one.requests, of_class[one.priority] * one.weight + 0.01)
+            ShareUse(one.requests, of_class[one.priority] * one.weight + 0.01)
             for one in had
         ]
         refused = [
@@ -107,16 +118,16 @@
             for turn in turns
         ]
         below = [no for turn, no in zip(turns, refused, strict=True)
-                 if not turn.over]  # fmt: skip
+                 if not turn.over_share]  # fmt: skip
         above = [no for turn, no in zip(turns, refused, strict=True)
-                 if turn.over]  # fmt: skip
+                 if turn.over_share]  # fmt: skip
         self.assertTrue(not any(below) or all(above))
         # Somebody is always within its share.
         self.assertTrue(below)
 
     @given(st.floats(0, 1e6), st.floats(0, 1e6), st.booleans())
     def test_nobody_is_refused_while_a_place_is_free(self, had, share, behind):
-        asked = AdmissionRequest(0.3, 5, Turn(had, share), behind)
+        asked = AdmissionRequest(0.3, 5, ShareUse(had, share), behind)
         self.assertIsNone(judge(asked, 0, lambda: 0.5))
 
 
@@ -146,28 +157,30 @@
 
     def test_hot_team_is_over_and_others_are_not(self):
         self.make_hot()
-        self.assertTrue(self.turn(0).over)
-        self.assertEqual([1] * 20, [self.turn(at).part for at in range(1, 21)])
+        self.assertTrue(self.turn(0).over_share)
+        self.assertEqual(
+            [1] * 20, [self.turn(at).wait_factor for at in range(1, 21)]
+        )
 
     def test_callers_without_a_team_are_never_over(self):
         self.make_hot()
-        self.assertIs(FREE, self.shares.turn(None))
+        self.assertIs(UNCONTESTED, self.shares.turn(None))
 
     def test_a_team_that_was_idle_gets_its_share_at_once(self):
         self.make_hot()
         self.now += 0.2
         self.let_through(30, 3)
-        self.assertEqual(1, self.turn(30).part)
-        self.assertLess(self.turn(0).part, 1)
+        self.assertEqual(1, self.turn(30).wait_factor)
+        self.assertLess(self.turn(0).wait_factor, 1)
 
     def test_nothing_heard_is_as_they_come(self):
-        self.assertEqual(1, self.turn(0).part)
+        self.assertEqual(1, self.turn(0).wait_factor)
 
     def test_removed_team_counts_no_more(self):
         self.make_hot()
         del self.named['t0']
         self.assertNotIn('t0', self.shares.summary())
-        self.assertFalse(self.turn(1).over)
+        self.assertFalse(self.turn(1).over_share)
 
     def test_renamed_team_begins_anew_and_the_old_name_has_no_share(self):
         self.make_hot()
@@ -175,7 +188,7 @@
         self.named['new'] = Team(TeamName('new'), rate=100, burst=100)
         self.now += 0.2
         self.shares.add(TeamName('new'), 2)
-        self.assertFalse(self.shares.turn(self.named['new']).over)
+        self.assertFalse(self.shares.turn(self.named['new']).over_share)
         self.assertEqual(
             {'new', *(f't{at}' for at in range(1, 21))},
             set(self.shares.summary()),
@@ -184,15 +197,15 @@
     def test_a_team_that_is_added_has_a_share_at_once(self):
         self.make_hot()
         self.named['new'] = Team(TeamName('new'), rate=100, burst=100)
-        self.assertEqual(1, self.shares.turn(self.named['new']).part)
+        self.assertEqual(1, self.shares.turn(self.named['new']).wait_factor)
 
     def test_a_lower_limit_is_a_lower_weight(self):
         for team in range(20):
             self.let_through(team, 10)
-        self.assertEqual(1, self.turn(0).part)
+        self.assertEqual(1, self.turn(0).wait_factor)
         self.named['t0'] = Team(TeamName('t0'), rate=10, burst=10)
         self.now += 0.2
-        self.assertTrue(self.turn(0).over)
+        self.assertTrue(self.turn(0).over_share)
 
     def test_a_higher_limit_is_a_higher_weight(self):
         self.make_hot()
@@ -200,7 +213,7 @@
         before = self.turn(0)
         self.named['t0'] = Team(TeamName('t0'), rate=10_000, burst=100)
         self.now += 0.2
-        self.assertGreater(self.turn(0).part, 1.5 * before.part)
+        self.assertGreater(self.turn(0).wait_factor, 1.5 * before.wait_factor)
 
     def test_teams_without_requests_are_forgotten(self):
         for number in range(10_000):
@@ -217,7 +230,7 @@
 
     def test_late_news_count_as_a_second_of_them(self):
         self.shares.hear({TeamName('t0'): 30}, 3)
-        self.assertAlmostEqual(10, self.turn(0).had)
+        self.assertAlmostEqual(10, self.turn(0).used)
 
 
 class CountTest(unittest.TestCase):
@@ -251,31 +264,31 @@
     def test_counts_of_others(self):
         self.tell(5, 1)
         self.now += 0.1
-        before = self.shares.turn(self.team).had
+        before = self.shares.turn(self.team).used
         self.tell(17, 2)
-        self.assertAlmostEqual(before + 12, self.shares.turn(self.team).had)
+        self.assertAlmostEqual(before + 12, self.shares.turn(self.team).used)
 
     def test_an_entry_that_starts_hears_what_comes_from_then_on(self):
         """What others let through in their whole life is long past."""
         self.limits._started = self.now
         self.tell(5000, 1)
-        self.assertLess(self.shares.turn(self.team).had, 1)
+        self.assertLess(self.shares.turn(self.team).used, 1)
         self.now += 0.1
         self.tell(5030, 2)
-        self.assertAlmostEqual(30, self.shares.turn(self.team).had, delta=1)
+        self.assertAlmostEqual(30, self.shares.turn(self.team).used, delta=1)
 
     def test_an_entry_that_ends_is_forgotten_within_seconds(self):
         self.tell(0, 1)
         self.tell(30, 2)
         self.now += 3
-        self.assertLess(self.shares.turn(self.team).had, 2)
+        self.assertLess(self.shares.turn(self.team).used, 2)
 
     def test_an_entry_that_starts_again_counts_from_nothing(self):
         self.tell(30, 1)
-        before = self.shares.turn(self.team).had
+        before = self.shares.turn(self.team).used
         told = TeamCounts(8, {self.team.name: 4})
         self.limits.hear(NodeName('e-2'), told, 2, self.now)
-        found = self.shares.turn(self.team).had
+        found = self.shares.turn(self.team).used
         self.assertAlmostEqual(before + 4, found)
 
     def test_a_team_that_gets_a_limit_can_pass_no_more(self):
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -11,7 +11,7 @@
     latest_send_time,
     should_queue,
 )
-from bendlead_gateway._scheduling.turns import Turn
+from bendlead_gateway._scheduling.team_shares import ShareUse
 from bendlead_gateway.types import TeamName
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -23,8 +23,8 @@
 _PLAIN = (
     b'HTTP/1.1 200 OK\r\nX-Response-Seal: s1\r\nContent-Length: 2\r\n\r\nok'
 )
-_OVER = Turn(40, 10)
-_SLIGHTLY = Turn(10.5, 10)
+_OVER = ShareUse(40, 10)
+_SLIGHTLY = ShareUse(10.5, 10)
 
 
 class RulesTest(unittest.TestCase):
@@ -115,10 +115,10 @@
 
     def test_new_ones_stay_behind_those_that_came_back(self):
         self.free_places(100)
-        self.assertFalse(self.rules.is_ahead_of(Turn()))
+        self.assertFalse(self.rules.is_ahead_of(ShareUse()))
         self.hold(self.held())
-        self.assertTrue(self.rules.is_ahead_of(Turn()))
-        behind = AdmissionRequest(0.3, 5, Turn(), behind=True)
+        self.assertTrue(self.rules.is_ahead_of(ShareUse()))
+        behind = AdmissionRequest(0.3, 5, ShareUse(), behind=True)
         self.assertIsNotNone(judge(behind, 0.15, lambda: 0.5))
         self.assertIsNone(judge(AdmissionRequest(0.3, 5), 0.15, lambda: 0.5))
 
