--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
@@ -11,7 +11,7 @@
 from bendlead_gateway._scheduling.admission import (
     AdmissionRequest,
     Refusal,
-    judge,
+    check_admission,
 )
 from bendlead_gateway.types import ServiceName
 
@@ -42,7 +42,7 @@
         if exchange.sends or exchange.dequeued or wait <= 0:
             return None
         admission_request = self._admission_request(exchange, service)
-        refusal = judge(admission_request, wait, random.random)
+        refusal = check_admission(admission_request, wait, random.random)
         if refusal is None:
             return None
         not_queued = self._queue.wait(exchange, service)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
@@ -38,7 +38,7 @@
     """
 
     target: float
-    patience: float | None = None
+    timeout: float | None = None
     turn: ShareUse = UNCONTESTED
     behind: bool = False
 
@@ -52,26 +52,26 @@
         return self.target * share * self.turn.wait_factor
 
 
-def judge(
-    asked: AdmissionRequest, wait: float, chance: RandomSource
+def check_admission(
+    request: AdmissionRequest, wait: float, chance: RandomSource
 ) -> Refusal | None:
     """Return a refusal if the wait in seconds is too long, else ``None``."""
-    if wait <= asked.longest_wait:
+    if wait <= request.longest_wait:
         return None
-    yields = asked.turn.over_share or asked.behind
+    yields = request.turn.over_share or request.behind
     cause = 'others go first' if yields else 'all slots taken'
     return Refusal(
         f'{cause}, {wait:.3f} s to wait',
-        _retry_after(asked, wait, chance),
+        _retry_after(request, wait, chance),
     )
 
 
 def _retry_after(
-    asked: AdmissionRequest, wait: float, chance: RandomSource
+    request: AdmissionRequest, wait: float, chance: RandomSource
 ) -> float:
     """Draw the seconds after which a refused client should retry."""
     earliest = max(_MIN_RETRY_SECONDS, wait)
     latest = earliest + _SPREAD_SECONDS
-    if asked.patience is not None:
-        latest = asked.patience * _RETURN_SHARE
+    if request.timeout is not None:
+        latest = request.timeout * _RETURN_SHARE
     return earliest + chance() * max(0, latest - earliest)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
@@ -6,7 +6,7 @@
 
 import math
 
-from bendlead_gateway._scheduling.served import (
+from bendlead_gateway._scheduling.decayed_tokens import (
     HALF_LIFE_SECONDS,
     DecayedTokens,
 )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
@@ -9,7 +9,10 @@
 
 from msgspec import Struct
 
-from bendlead_gateway._scheduling.served import MIN_TOKENS, DecayedTokens
+from bendlead_gateway._scheduling.decayed_tokens import (
+    MIN_TOKENS,
+    DecayedTokens,
+)
 from bendlead_gateway._scheduling.urgency import Urgency
 from bendlead_gateway.types import JobId, TeamName
 
--- a/testing/src/bendlead_testing/replay/_entries.py
+++ b/testing/src/bendlead_testing/replay/_entries.py
@@ -85,7 +85,7 @@
         )
         assert chosen is not None
         left = load.patience - (self._clock.now - asked.first)
-        refusal = admission.judge(
+        refusal = admission.check_admission(
             admission.AdmissionRequest(load.aim, left),
             chosen.wait,
             self._chance.random,
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -360,7 +360,9 @@
         chosen = self._choose()
         behind = entry.rules.is_ahead_of(turn)
         question = admission.AdmissionRequest(load.aim, left, turn, behind)
-        refusal = admission.judge(question, chosen.wait, self._chance.random)
+        refusal = admission.check_admission(
+            question, chosen.wait, self._chance.random
+        )
         if refusal is None:
             self._send(asked, chosen.view, entry)
             return
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -133,7 +133,7 @@
     )
     def test_wait(self, _name, wait, expected):
         asked = admission.AdmissionRequest(0.3, 5)
-        refusal = admission.judge(asked, wait, _draws(0))
+        refusal = admission.check_admission(asked, wait, _draws(0))
         told = refusal.retry_after if refusal else None
         self.assertEqual(expected, told)
 
@@ -147,7 +147,7 @@
     )
     def test_return(self, _name, patience, drawn, expected):
         asked = admission.AdmissionRequest(0.3, patience)
-        refusal = admission.judge(asked, 0.5, _draws(drawn))
+        refusal = admission.check_admission(asked, 0.5, _draws(drawn))
         self.assertAlmostEqual(expected, refusal.retry_after)
 
 
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -3,7 +3,10 @@
 import unittest
 from dataclasses import replace
 
-from bendlead_gateway._scheduling.admission import AdmissionRequest, judge
+from bendlead_gateway._scheduling.admission import (
+    AdmissionRequest,
+    check_admission,
+)
 from bendlead_gateway._scheduling.team_shares import (
     UNCONTESTED,
     ShareUse,
@@ -114,7 +117,8 @@
             for one in had
         ]
         refused = [
-            judge(AdmissionRequest(0.3, 5, turn), wait, lambda: 0.5) is not None
+            check_admission(AdmissionRequest(0.3, 5, turn), wait, lambda: 0.5)
+            is not None
             for turn in turns
         ]
         below = [no for turn, no in zip(turns, refused, strict=True)
@@ -128,7 +132,7 @@
     @given(st.floats(0, 1e6), st.floats(0, 1e6), st.booleans())
     def test_nobody_is_refused_while_a_place_is_free(self, had, share, behind):
         asked = AdmissionRequest(0.3, 5, ShareUse(had, share), behind)
-        self.assertIsNone(judge(asked, 0, lambda: 0.5))
+        self.assertIsNone(check_admission(asked, 0, lambda: 0.5))
 
 
 class ShareTest(unittest.TestCase):
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -3,7 +3,10 @@
 import unittest
 
 import gevent
-from bendlead_gateway._scheduling.admission import AdmissionRequest, judge
+from bendlead_gateway._scheduling.admission import (
+    AdmissionRequest,
+    check_admission,
+)
 from bendlead_gateway._scheduling.queue_policy import (
     QueuedRequest,
     QueuePolicy,
@@ -119,8 +122,10 @@
         self.hold(self.held())
         self.assertTrue(self.rules.is_ahead_of(ShareUse()))
         behind = AdmissionRequest(0.3, 5, ShareUse(), behind=True)
-        self.assertIsNotNone(judge(behind, 0.15, lambda: 0.5))
-        self.assertIsNone(judge(AdmissionRequest(0.3, 5), 0.15, lambda: 0.5))
+        self.assertIsNotNone(check_admission(behind, 0.15, lambda: 0.5))
+        self.assertIsNone(
+            check_admission(AdmissionRequest(0.3, 5), 0.15, lambda: 0.5)
+        )
 
     def test_hopeless_once_places_stay_away(self):
         self.free_places(20)
