--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -153,7 +153,7 @@
 
     def _release_next(self, service: ServiceName, rules: QueuePolicy) -> None:
         for queued in rules.queued:
-            queued.turn = self._shares.turn(self._team_named(queued.team))
+            queued.share_use = self._shares.turn(self._team_named(queued.team))
         for unlikely in rules.expired():
             self._wake(rules, unlikely, 'no slot expected before its deadline')
         wait = self._wait_of(service)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/backlog.py
@@ -40,7 +40,7 @@
         team: TeamName,
         excess: int,
         now: float,
-        chance: RandomSource,
+        draw: RandomSource,
     ) -> float:
         """Estimate the seconds until ``excess`` tokens of the backlog are done.
 
@@ -51,4 +51,4 @@
             return _DEFAULT_SECONDS
         rate = recent * math.log(2) / HALF_LIFE_SECONDS
         expected = min(max(excess / rate, _MIN_SECONDS), _MAX_SECONDS)
-        return expected * (1 + chance() * _JITTER_SHARE)
+        return expected * (1 + draw() * _JITTER_SHARE)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/fair_order.py
@@ -39,11 +39,11 @@
         self._teams = DecayedTokens[TeamName]({})
         self._jobs = DecayedTokens[JobId]({})
 
-    def record_start(self, turn: ItemCost, now: float) -> None:
+    def record_start(self, cost: ItemCost, now: float) -> None:
         """Record the start of an item run."""
-        tokens = max(turn.tokens, MIN_TOKENS)
-        self._teams.add(turn.team, tokens, now)
-        self._jobs.add(turn.job, tokens, now)
+        tokens = max(cost.tokens, MIN_TOKENS)
+        self._teams.add(cost.team, tokens, now)
+        self._jobs.add(cost.job, tokens, now)
 
     def order(self, waiting: Sequence[ItemCost], now: float) -> Iterator[int]:
         """Yield the indexes of waiting items in the order to run them.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/item_slots.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/item_slots.py
@@ -34,7 +34,7 @@
 class ItemSlots:
     """Allocator of the idle slots at one moment.
 
-    ``led`` are the engines on which this owner has precedence, ``None`` if on
+    ``first_on`` are the engines on which this owner comes first, ``None`` if on
     all.
     """
 
@@ -42,10 +42,10 @@
         self,
         views: Sequence[EngineView],
         kept: int = 0,
-        led: Container[EngineId] | None = None,
+        first_on: Container[EngineId] | None = None,
     ) -> None:
         self._kept = kept
-        self._led = led
+        self._first_on = first_on
         # If all engines are paused, the fault is more likely on this side.
         usable = [view for view in views if not view.paused] or views
         self._views: dict[EngineId, EngineView] = {
@@ -67,7 +67,7 @@
     def _idle(self, view: EngineView) -> int:
         """Count the idle slots of an engine, before headroom by age."""
         idle = view.free - self._kept
-        if self._led is None or view.name in self._led:
+        if self._first_on is None or view.name in self._first_on:
             return idle
         return idle - PRECEDENCE_HEADROOM
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
@@ -33,10 +33,10 @@
     late: float = 0
     strained: bool = False
 
-    def update(self, late: float, room: ResourceUse) -> bool:
+    def update(self, late: float, use: ResourceUse) -> bool:
         """Add a sample; return whether ``strained`` has changed."""
         self.late += (late - self.late) * _SMOOTHING
-        used = max(room.memory, room.connections)
+        used = max(use.memory, use.connections)
         pressure = max(self.late / LATE_TIMER_SECONDS, used / HIGH_USE_SHARE)
         previous = self.strained
         threshold = _RECOVERY_SHARE if previous else 1
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/placement.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/placement.py
@@ -72,7 +72,7 @@
 
 
 def choose_engine(
-    views: Sequence[EngineView], traffic: Traffic, chance: RandomSource
+    views: Sequence[EngineView], traffic: Traffic, draw: RandomSource
 ) -> Placement | None:
     """Choose an engine for an online request, ``None`` without views."""
     # If all engines are paused, the fault is more likely on this side.
@@ -82,21 +82,21 @@
     reference = _Reference(_median_gap(usable), _max_slowness(usable))
     unseen = traffic.unseen(sum(view.online for view in views))
     # The fraction is rounded up or down at random.
-    others = min(int(unseen + chance()), _MAX_ASSIGNED_PER_ENGINE * len(usable))
+    others = min(int(unseen + draw()), _MAX_ASSIGNED_PER_ENGINE * len(usable))
     assigned = _assign(
-        [_Candidate(view, reference) for view in usable], others, chance
+        [_Candidate(view, reference) for view in usable], others, draw
     )
-    drawn = min(int(chance() * len(assigned)), others)
+    drawn = min(int(draw() * len(assigned)), others)
     chosen = usable[assigned[drawn].index]
     return Placement(chosen, assigned[-1].view.wait(traffic.run_seconds))
 
 
 def _assign(
-    candidates: Sequence['_Candidate'], others: int, chance: RandomSource
+    candidates: Sequence['_Candidate'], others: int, draw: RandomSource
 ) -> Sequence['_Assignment']:
     """Assign ``others`` requests and one more, each to the cheapest engine."""
     ranked = [
-        (candidate.cost, chance(), index)
+        (candidate.cost, draw(), index)
         for index, candidate in enumerate(candidates)
     ]
     heapq.heapify(ranked)
@@ -106,7 +106,7 @@
         candidate = candidates[index]
         assigned.append(_Assignment(index, candidate.view))
         candidate.add()
-        heapq.heapreplace(ranked, (candidate.cost, chance(), index))
+        heapq.heapreplace(ranked, (candidate.cost, draw(), index))
     return assigned
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
@@ -56,13 +56,13 @@
     send_by: float
     target: float
     priority: tuple[int, int] = (0, 0)
-    turn: ShareUse = UNCONTESTED
+    share_use: ShareUse = UNCONTESTED
     size: int = 0
 
     @property
     def longest_wait(self) -> float:
         """Return the longest admissible wait at an engine, in seconds."""
-        return AdmissionRequest(self.target, None, self.turn).longest_wait
+        return AdmissionRequest(self.target, None, self.share_use).longest_wait
 
 
 class RetryDetector(Struct):
@@ -70,12 +70,12 @@
 
     longest: float = 0
 
-    def is_retry(self, patience: float | None, timeout: float) -> bool:
+    def is_retry(self, left: float | None, timeout: float) -> bool:
         """Return whether the remaining timeout shows a retried request."""
-        if patience is None:
+        if left is None:
             return False
-        self.longest = max(self.longest, min(patience, timeout))
-        return patience < self.longest * _RETRY_TIMEOUT_SHARE
+        self.longest = max(self.longest, min(left, timeout))
+        return left < self.longest * _RETRY_TIMEOUT_SHARE
 
 
 def latest_send_time(
@@ -140,28 +140,28 @@
         share = min(1, given / offered)
         return self._freed.current(now) / _RATE_SECONDS * share
 
-    def is_ahead_of(self, turn: ShareUse) -> bool:
+    def is_ahead_of(self, share_use: ShareUse) -> bool:
         """Return whether queued requests precede a new one."""
         return any(
-            queued.turn.wait_factor >= turn.wait_factor
+            queued.share_use.wait_factor >= share_use.wait_factor
             for queued in self._queued
         )
 
-    def rejection_reason(self, asked: QueuedRequest) -> str | None:
+    def rejection_reason(self, request: QueuedRequest) -> str | None:
         """Return why a request can't be queued, ``None`` if it can."""
-        if asked.turn.wait_factor < _MIN_WAIT_FACTOR:
+        if request.share_use.wait_factor < _MIN_WAIT_FACTOR:
             return 'its team is over its share'
-        of_team = sum(queued.team == asked.team for queued in self._queued)
+        of_team = sum(queued.team == request.team for queued in self._queued)
         if of_team >= _MAX_QUEUED_PER_TEAM:
             return f'{of_team} requests of the team are queued'
         if len(self._queued) >= _MAX_QUEUED:
             return f'{len(self._queued)} requests are queued'
-        if self._bytes + asked.size > _MAX_QUEUED_BYTES:
+        if self._bytes + request.size > _MAX_QUEUED_BYTES:
             return f'{self._bytes} bytes of request bodies are queued'
         ahead = sum(
-            _sort_key(queued) <= _sort_key(asked) for queued in self._queued
+            _sort_key(queued) <= _sort_key(request) for queued in self._queued
         )
-        if not self._is_likely(asked, ahead):
+        if not self._is_likely(request, ahead):
             return (
                 f'{ahead} requests ahead, {self.rate:.1f} slots freed a second'
             )
@@ -213,10 +213,10 @@
                 ahead += 1
         return expired
 
-    def _is_likely(self, asked: QueuedRequest, ahead: int) -> bool:
-        left = (asked.send_by - self._now()) * _EXPECTED_WAIT_SHARE
+    def _is_likely(self, request: QueuedRequest, ahead: int) -> bool:
+        left = (request.send_by - self._now()) * _EXPECTED_WAIT_SHARE
         return left > 0 and ahead + 1 <= self.rate * left
 
 
 def _sort_key(queued: QueuedRequest) -> tuple[float, tuple[int, int], float]:
-    return -queued.turn.wait_factor, queued.priority, queued.send_by
+    return -queued.share_use.wait_factor, queued.priority, queued.send_by
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -290,7 +290,7 @@
     def test_places_of_others(self, _name, batch, led, expected):
         """An item goes where those of no other owner go first, if it can."""
         views = [_view(name, 0, count) for name, count in batch.items()]
-        taken = ItemSlots(views, led=led).take(0.9)
+        taken = ItemSlots(views, first_on=led).take(0.9)
         self.assertEqual(expected, taken.name if taken else None)
 
 
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -96,7 +96,7 @@
 
     def test_order(self):
         self.free_places(100)
-        last = self.held('a', turn=_SLIGHTLY)
+        last = self.held('a', share_use=_SLIGHTLY)
         later = self.held('b', 1.4)
         urgent = self.held('c', priority=(-1, 0))
         first = self.held('d', 1.2)
@@ -114,7 +114,9 @@
 
     def test_a_team_over_its_share_is_not_held(self):
         self.free_places(100)
-        self.assertIsNotNone(self.rules.rejection_reason(self.held(turn=_OVER)))
+        self.assertIsNotNone(
+            self.rules.rejection_reason(self.held(share_use=_OVER))
+        )
 
     def test_new_ones_stay_behind_those_that_came_back(self):
         self.free_places(100)
