--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/admission.py
@@ -33,8 +33,8 @@
 class AdmissionRequest(Struct, frozen=True):
     """Latency target and client timeout of a request, in seconds.
 
-    ``share_use`` is the use its team makes of its share; ``behind`` is set while
-    queued requests take precedence over it.
+    ``share_use`` is the use its team makes of its share; ``behind`` is set
+    while queued requests take precedence over it.
     """
 
     target: float
--- a/tests/test_gateway_fair_order.py
+++ b/tests/test_gateway_fair_order.py
@@ -1,4 +1,4 @@
-"""Teams' items take turns, and teams learn when there is room."""
+"""Fair order of items across teams, and retry times of full backlogs."""
 
 import random
 import unittest
@@ -14,40 +14,46 @@
 _HOST = 'a.example'
 
 
-def _turn(team, accepted_at=0.0, tokens=100, prospect=Prospect.LIKELY, name=''):
+def _cost(team, accepted_at=0.0, tokens=100, prospect=Prospect.LIKELY, name=''):
     return ItemCost(
         Urgency(prospect, accepted_at), team, JobId(name or team), tokens
     )
 
 
-class TurnsTest(unittest.TestCase):
-    """No team waits for all items of another."""
+class FairOrderTest(unittest.TestCase):
+    """Teams share slots whatever the number of their items."""
 
     def setUp(self):
-        self.turns = FairOrder()
+        self.fair_order = FairOrder()
 
-    def run_all(self, waiting, places=4):
-        """Run items in turn; give the round in which each one began."""
+    def run_all(self, waiting, slots=4):
+        """Run all items in order; return the round in which each started."""
         left = list(enumerate(waiting))
         begun = {}
         number = 0
         while left:
             number += 1
-            order = self.turns.order([one for _at, one in left], float(number))
+            order = self.fair_order.order(
+                [item for _index, item in left], float(number)
+            )
             taken = [
-                place for place, _at in zip(order, range(places), strict=False)
+                place for place, _slot in zip(order, range(slots), strict=False)
             ]
             for place in taken:
-                at, one = left[place]
-                begun[at] = number
-                self.turns.record_start(one, float(number))
-            left = [one for place, one in enumerate(left) if place not in taken]
+                index, item = left[place]
+                begun[index] = number
+                self.fair_order.record_start(item, float(number))
+            left = [
+                item for place, item in enumerate(left) if place not in taken
+            ]
         return begun
 
     def last_of_small(self, many, few):
-        """Tell in which round the last item of the small team began."""
+        """Return the round in which the last item of the small team started."""
         begun = self.run_all([*many, *few])
-        return max(begun[at] for at in range(len(many), len(many) + len(few)))
+        return max(
+            begun[index] for index in range(len(many), len(many) + len(few))
+        )
 
     @parameterized.expand(
         [
@@ -56,69 +62,69 @@
             ('large_items_of_ones_own', 100, 200, 8),
         ]
     )
-    def test_a_thousand_and_ten(self, _name, many, few, most):
-        """Two teams of which each has half of four places."""
-        thousand = [_turn(_LARGE, 0, many) for _item in range(1000)]
-        ten = [_turn(_SMALL, 1, few) for _item in range(10)]
+    def test_small_team_beside_large_one(self, _name, many, few, most):
+        """Each of two teams gets half of four slots."""
+        thousand = [_cost(_LARGE, 0, many) for _item in range(1000)]
+        ten = [_cost(_SMALL, 1, few) for _item in range(10)]
         self.assertLessEqual(self.last_of_small(thousand, ten), most)
 
     def test_fifty_small_teams(self):
-        thousand = [_turn(_LARGE) for _item in range(1000)]
-        ten = [_turn(TeamName(f't{at % 50}'), 1) for at in range(500)]
+        thousand = [_cost(_LARGE) for _item in range(1000)]
+        ten = [_cost(TeamName(f't{at % 50}'), 1) for at in range(500)]
         self.assertLessEqual(self.last_of_small(thousand, ten), 130)
 
-    def test_team_that_had_much_waits(self):
+    def test_recent_use_counts(self):
         for _item in range(5):
-            self.turns.record_start(_turn(_LARGE), 1)
-        waiting = [_turn(_LARGE), _turn(_SMALL, 5), _turn(_SMALL, 6)]
-        self.assertEqual([1, 2, 0], list(self.turns.order(waiting, 2)))
+            self.fair_order.record_start(_cost(_LARGE), 1)
+        waiting = [_cost(_LARGE), _cost(_SMALL, 5), _cost(_SMALL, 6)]
+        self.assertEqual([1, 2, 0], list(self.fair_order.order(waiting, 2)))
 
-    def test_what_a_team_had_long_ago_is_forgotten(self):
-        self.turns.record_start(_turn(_LARGE), 1)
-        waiting = [_turn(_LARGE), _turn(_SMALL, 5)]
-        self.assertEqual([0, 1], list(self.turns.order(waiting, 500)))
+    def test_old_use_is_forgotten(self):
+        self.fair_order.record_start(_cost(_LARGE), 1)
+        waiting = [_cost(_LARGE), _cost(_SMALL, 5)]
+        self.assertEqual([0, 1], list(self.fair_order.order(waiting, 500)))
 
     @parameterized.expand(
         [
             (
                 'too_late_ones_last',
-                [_turn(_LARGE, 0, prospect=Prospect.TOO_LATE), _turn(_SMALL)],
+                [_cost(_LARGE, 0, prospect=Prospect.TOO_LATE), _cost(_SMALL)],
                 [1, 0],
             ),
             (
                 'oldest_job_of_a_team',
-                [_turn(_LARGE, 9, name='b'), _turn(_LARGE, 3, name='a')],
+                [_cost(_LARGE, 9, name='b'), _cost(_LARGE, 3, name='a')],
                 [1, 0],
             ),
             ('nothing', [], []),
-            ('no_size', [_turn(_LARGE, tokens=0), _turn(_SMALL)], [0, 1]),
+            ('no_size', [_cost(_LARGE, tokens=0), _cost(_SMALL)], [0, 1]),
         ]
     )
     def test_order(self, _name, waiting, expected):
-        self.assertEqual(expected, list(self.turns.order(waiting, 1)))
+        self.assertEqual(expected, list(self.fair_order.order(waiting, 1)))
 
-    def test_jobs_due_alike_take_turns(self):
-        self.turns.record_start(_turn(_LARGE, 0.1, name='a'), 1)
+    def test_jobs_of_the_same_age_alternate(self):
+        self.fair_order.record_start(_cost(_LARGE, 0.1, name='a'), 1)
         waiting = [
-            _turn(_LARGE, 0.1, name='a'),
-            _turn(_LARGE, 0.2, name='b'),
+            _cost(_LARGE, 0.1, name='a'),
+            _cost(_LARGE, 0.2, name='b'),
         ]
-        self.assertEqual([1, 0], list(self.turns.order(waiting, 1)))
+        self.assertEqual([1, 0], list(self.fair_order.order(waiting, 1)))
 
-    def test_renamed_team_begins_anew(self):
-        """Its items of before count for nobody; nobody waits for ever."""
+    def test_renamed_team_starts_without_use(self):
+        """Use under the old name counts for nobody, and nobody starves."""
         for _item in range(100):
-            self.turns.record_start(_turn(_LARGE), 1)
+            self.fair_order.record_start(_cost(_LARGE), 1)
         renamed = TeamName('renamed')
-        waiting = [_turn(_SMALL), *(_turn(renamed) for _item in range(50))]
-        self.assertIn(0, list(self.turns.order(waiting, 1))[:2])
+        waiting = [_cost(_SMALL), *(_cost(renamed) for _item in range(50))]
+        self.assertIn(0, list(self.fair_order.order(waiting, 1))[:2])
 
-    def test_no_item_is_lost_or_given_twice(self):
-        """Property: an order holds each item once."""
+    def test_each_item_is_ordered_once(self):
+        """Property: an order is a permutation of the items."""
         noise = random.Random(3)
         for _case in range(100):
             waiting = [
-                _turn(
+                _cost(
                     TeamName(f't{noise.randrange(5)}'),
                     noise.uniform(0, 5),
                     noise.randrange(1000),
@@ -126,15 +132,15 @@
                 )
                 for _item in range(noise.randrange(40))
             ]
-            order = list(self.turns.order(waiting, noise.uniform(0, 20)))
+            order = list(self.fair_order.order(waiting, noise.uniform(0, 20)))
             self.assertEqual(list(range(len(waiting))), sorted(order))
 
 
-class DrainTest(unittest.TestCase):
-    """A team that has no room is told when it will have some."""
+class BacklogRatesTest(unittest.TestCase):
+    """Retry times for teams whose backlog is full."""
 
     def seconds(self, rate, over):
-        """Tell the time after a rate of tokens a second for long."""
+        """Return the estimate after a steady rate of tokens per second."""
         rates = BacklogRates()
         for tenth in range(1000):
             rates.record_finished(_HOST, _LARGE, rate // 10, tenth / 10)
--- a/tests/test_gateway_overload.py
+++ b/tests/test_gateway_overload.py
@@ -1,4 +1,4 @@
-"""Entries that run out of memory, processor time or connections."""
+"""Overload of entries: memory, processor time and connections."""
 
 import time
 import unittest
@@ -21,11 +21,11 @@
 from tests.gateway_cases import EntryCase
 from tests.gateway_standins import chunked, event, route
 
-_LOOKS_A_SECOND = 10
+_UPDATES_PER_SECOND = 10
 
 
-class StrainTest(unittest.TestCase):
-    """When an entry is short of something."""
+class OverloadDetectorTest(unittest.TestCase):
+    """Detection of overload and shedding of connections."""
 
     @parameterized.expand(
         [
@@ -41,23 +41,23 @@
             ('half_full', 0, ResourceUse(0.5, 0.5), False),
         ]
     )
-    def test_steady(self, _name, late, room, strained):
-        strain = OverloadDetector()
-        for _look in range(_LOOKS_A_SECOND):
-            strain.update(late, room)
-        self.assertIs(strained, strain.strained)
-
-    def test_one_long_step_is_no_strain(self):
-        strain = OverloadDetector()
-        strain.update(0.4, ResourceUse())
-        self.assertFalse(strain.strained)
-
-    def test_ends_well_below_where_it_began(self):
-        strain = OverloadDetector()
-        strain.update(0, ResourceUse(memory=0.8))
-        self.assertFalse(strain.update(0, ResourceUse(memory=0.5)))
-        self.assertTrue(strain.update(0, ResourceUse(memory=0.2)))
-        self.assertFalse(strain.strained)
+    def test_steady(self, _name, late, use, strained):
+        detector = OverloadDetector()
+        for _update in range(_UPDATES_PER_SECOND):
+            detector.update(late, use)
+        self.assertIs(strained, detector.strained)
+
+    def test_one_long_step_is_no_overload(self):
+        detector = OverloadDetector()
+        detector.update(0.4, ResourceUse())
+        self.assertFalse(detector.strained)
+
+    def test_overload_ends_with_hysteresis(self):
+        detector = OverloadDetector()
+        detector.update(0, ResourceUse(memory=0.8))
+        self.assertFalse(detector.update(0, ResourceUse(memory=0.5)))
+        self.assertTrue(detector.update(0, ResourceUse(memory=0.2)))
+        self.assertFalse(detector.strained)
 
     @parameterized.expand(
         [
@@ -68,18 +68,18 @@
             ('none_is_heard', True, [], False),
         ]
     )
-    def test_turns_away(self, _name, own, others, away):
+    def test_sheds_connections(self, _name, own, others, away):
         self.assertIs(away, sheds_connections(own=own, others=others))
 
 
-class HeldBodiesTest(unittest.TestCase):
-    """All bodies together have a bound, and each is given back."""
+class RequestBodiesTest(unittest.TestCase):
+    """Limit of the memory for request bodies, and its release."""
 
     BODY = b'x' * 60_000
     HEAD = b'POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n'
 
     def setUp(self):
-        self.go_on = gevent.event.Event()
+        self.proceed = gevent.event.Event()
         self.troubles = []
         address = f'127.0.0.1:{free_port()}'
         self.server = HttpServer(
@@ -95,16 +95,16 @@
         clients = [self.send(self.BODY) for _client in range(6)]
         gevent.sleep(0.2)
         self.assertLessEqual(self.server.bodies.held, 200_000)
-        self.go_on.set()
-        answers = [self.read(one) for one in clients]
-        self.assertEqual(3, sum(b' 200 ' in one for one in answers))
-        refused = [one for one in answers if b' 503 ' in one]
-        self.assertTrue(all(b'Retry-After' in one for one in refused))
+        self.proceed.set()
+        answers = [self.read(client) for client in clients]
+        self.assertEqual(3, sum(b' 200 ' in answer for answer in answers))
+        refused = [answer for answer in answers if b' 503 ' in answer]
+        self.assertTrue(all(b'Retry-After' in answer for answer in refused))
         gevent.sleep(0.1)
         self.assertEqual(0, self.server.bodies.held)
         self.assertIn(b' 200 ', self.read(self.send(self.BODY)))
 
-    def test_body_that_breaks_off_is_given_back(self):
+    def test_incomplete_body_is_released(self):
         client = self.send(self.BODY[:-1], len(self.BODY))
         gevent.sleep(0.1)
         self.assertGreater(self.server.bodies.held, 50_000)
@@ -112,9 +112,9 @@
         gevent.sleep(0.1)
         self.assertEqual(0, self.server.bodies.held)
 
-    def test_answer_left_unread_ends(self):
-        """A client that reads nothing holds its answer no longer than this."""
-        self.go_on.set()
+    def test_unread_response_times_out(self):
+        """A client that reads nothing does not keep its response for ever."""
+        self.proceed.set()
         client = socket.socket()
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.connect(self.address)
@@ -127,14 +127,14 @@
                 gevent.sleep(0.05)
 
     def send(self, body, length=None):
-        """Send a request whose body is as long as it says, or is not."""
+        """Send a request; ``length`` overrides its Content-Length."""
         client = socket.create_connection(self.address)
         self.addCleanup(client.close)
         client.sendall(self.HEAD % (length or len(body)) + body)
         return client
 
     def read(self, client):
-        """Read what is answered until nothing more comes."""
+        """Read a response, empty after a timeout."""
         client.settimeout(1)
         try:
             return client.recv(4096)
@@ -142,13 +142,13 @@
             return b''
 
     def _answer(self, request, responder):
-        self.go_on.wait()
+        self.proceed.wait()
         large = request.path == '/large'
         responder.answer(200, (), self.BODY * 400 if large else b'ok')
 
 
-class StrainedEntryTest(EntryCase):
-    """An entry that is short of memory for bodies."""
+class OverloadedEntryTest(EntryCase):
+    """Shedding by an entry that lacks memory for request bodies."""
 
     @parameterized.expand(
         [
@@ -157,7 +157,7 @@
             ('all_strained', 0.9, [True, True], None),
         ]
     )
-    def test_clients_are_sent_away(self, _name, used, others, connection):
+    def test_connections_are_shed(self, _name, used, others, connection):
         answer = chunked(event(1, 'a'))
         self.start(
             route('stream'),
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -1,4 +1,4 @@
-"""The decisions of load, each by itself."""
+"""Scheduling decisions as pure functions."""
 
 import unittest
 from types import SimpleNamespace
@@ -33,7 +33,7 @@
     _SLOTS,
     EngineState.READY,
 )
-_NOTHING_UNSEEN = Traffic(0.7, 0)
+_NO_UNSEEN_TRAFFIC = Traffic(0.7, 0)
 
 
 def _view(name, online=0, batch=0, **known):
@@ -42,13 +42,13 @@
 
 
 def _draws(*numbers):
-    """Give these numbers again and again in place of chance."""
+    """Return a random source that repeats these numbers."""
     drawn = iter(numbers * 1000)
     return lambda: next(drawn)
 
 
 class PlacementTest(unittest.TestCase):
-    """A request goes where it costs least behind those not known of yet."""
+    """Placement of a request after the requests not reported yet."""
 
     @parameterized.expand(
         [
@@ -81,18 +81,18 @@
         ]
     )
     def test_nothing_unseen(self, _name, views, expected):
-        placed = placement.choose_engine(views, _NOTHING_UNSEEN, _draws(0))
+        placed = placement.choose_engine(views, _NO_UNSEEN_TRAFFIC, _draws(0))
         self.assertEqual(expected, placed.view.name)
 
     def test_no_engine(self):
         self.assertIsNone(
-            placement.choose_engine([], _NOTHING_UNSEEN, _draws(0))
+            placement.choose_engine([], _NO_UNSEEN_TRAFFIC, _draws(0))
         )
 
     def test_unseen_requests_fill_the_fleet_evenly(self):
-        """Whoever knows the same takes each engine as often as places are."""
+        """Entries with the same data spread requests over the free slots."""
         views = [_view('a', 2), _view('b', 4), _view('c', 8)]
-        # 14 requests of 0.7 s, news 0.2 s old: four that nobody knows of.
+        # 14 requests of 0.7 s and reports 0.2 s old: four unseen requests.
         traffic = Traffic(0.7, 0.2)
         taken = [
             placement.choose_engine(views, traffic, _draws(0, lot)).view.name
@@ -122,7 +122,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """A request that would be late is refused, and comes back apart."""
+    """Refusal of late requests, and spread of their retry times."""
 
     @parameterized.expand(
         [
@@ -132,10 +132,10 @@
         ]
     )
     def test_wait(self, _name, wait, expected):
-        asked = admission.AdmissionRequest(0.3, 5)
-        refusal = admission.check_admission(asked, wait, _draws(0))
-        told = refusal.retry_after if refusal else None
-        self.assertEqual(expected, told)
+        request = admission.AdmissionRequest(0.3, 5)
+        refusal = admission.check_admission(request, wait, _draws(0))
+        retry_after = refusal.retry_after if refusal else None
+        self.assertEqual(expected, retry_after)
 
     @parameterized.expand(
         [
@@ -146,13 +146,13 @@
         ]
     )
     def test_return(self, _name, patience, drawn, expected):
-        asked = admission.AdmissionRequest(0.3, patience)
-        refusal = admission.check_admission(asked, 0.5, _draws(drawn))
+        request = admission.AdmissionRequest(0.3, patience)
+        refusal = admission.check_admission(request, 0.5, _draws(drawn))
         self.assertAlmostEqual(expected, refusal.retry_after)
 
 
 class RetryTest(unittest.TestCase):
-    """Another engine is asked while that can still serve the client."""
+    """Retries on another engine while the client can still be served."""
 
     @parameterized.expand(
         [
@@ -166,12 +166,12 @@
         late = retry.too_late_to_retry(waited, 0.3, unreachable)
         self.assertEqual(expected, late)
 
-    def test_second_tries_are_bounded(self):
-        tries = retry.RetryBudget()
-        taken = [tries.take(0.3) for _try in range(12)]
-        self.assertEqual(10, len([one for one in taken if one]))
-        tries.give_back()
-        self.assertAlmostEqual(0.2, tries.take(0.3))
+    def test_retries_are_bounded(self):
+        budget = retry.RetryBudget()
+        taken = [budget.take(0.3) for _retry in range(12)]
+        self.assertEqual(10, len([timeout for timeout in taken if timeout]))
+        budget.give_back()
+        self.assertAlmostEqual(0.2, budget.take(0.3))
 
     @parameterized.expand(
         [
@@ -185,8 +185,8 @@
         self.assertEqual(expected, retry.has_free_slot(others))
 
 
-class SurplusTest(unittest.TestCase):
-    """Items step aside for requests, and for those not known of yet."""
+class RunsToPreemptTest(unittest.TestCase):
+    """Preemption of items for known and for unseen requests."""
 
     @parameterized.expand(
         [
@@ -196,7 +196,7 @@
             ('no_more_than_there_are', 9, 2, 3, 2),
         ]
     )
-    def test_surplus(self, _name, online, runs, kept, expected):
+    def test_runs_to_preempt(self, _name, online, runs, kept, expected):
         view = _view('a', online, runs)
         self.assertEqual(expected, runs_to_preempt(view, runs, kept))
 
@@ -213,54 +213,62 @@
 
 
 class PrecedenceTest(unittest.TestCase):
-    """Three owners share engines; each engine has one that goes first."""
+    """Precedence of three owners; on each engine exactly one comes first."""
 
     def setUp(self):
-        self.engines = [EngineId(f'i-{one}') for one in range(60)]
-        self.owners = [NodeName(f'owner-{one}') for one in range(3)]
+        self.engines = [EngineId(f'i-{number}') for number in range(60)]
+        self.owners = [NodeName(f'owner-{number}') for number in range(3)]
 
-    def test_one_leads_on_each_engine(self):
-        met = {one: self._meet(one, self.owners) for one in self.owners}
+    def test_one_comes_first_on_each_engine(self):
+        met = {
+            owner: self._precedence(owner, self.owners) for owner in self.owners
+        }
         for engine in self.engines:
-            before = sorted(one.items_before(engine) for one in met.values())
+            before = sorted(
+                order.items_before(engine) for order in met.values()
+            )
             self.assertEqual([0, 2, 4], before)
         led = [
-            sum(one.comes_first(engine) for engine in self.engines)
-            for one in met.values()
+            sum(order.comes_first(engine) for engine in self.engines)
+            for order in met.values()
         ]
         self.assertEqual(60, sum(led))
         self.assertGreater(min(led), 10)
 
-    def test_owner_alone_leads_everywhere(self):
-        alone = self._meet(self.owners[0], [])
-        self.assertTrue(all(alone.comes_first(one) for one in self.engines))
+    def test_single_owner_comes_first_everywhere(self):
+        alone = self._precedence(self.owners[0], [])
+        self.assertTrue(
+            all(alone.comes_first(engine) for engine in self.engines)
+        )
 
     def test_owner_that_ends_is_forgotten(self):
-        one = self._meet(self.owners[0], self.owners)
-        one.update_others({})
-        self.assertTrue(all(one.comes_first(engine) for engine in self.engines))
-        self.assertEqual(0, sum(map(one.items_before, self.engines)))
-
-    def test_items_that_nobody_stops_hold_their_places(self):
-        one = self._meet(self.owners[0], self.owners[:2], quiet=True)
-        before = {one.items_before(engine) for engine in self.engines}
+        order = self._precedence(self.owners[0], self.owners)
+        order.update_others({})
+        self.assertTrue(
+            all(order.comes_first(engine) for engine in self.engines)
+        )
+        self.assertEqual(0, sum(map(order.items_before, self.engines)))
+
+    def test_items_of_silent_owners_count(self):
+        order = self._precedence(self.owners[0], self.owners[:2], quiet=True)
+        before = {order.items_before(engine) for engine in self.engines}
         self.assertEqual({2}, before)
 
-    def _meet(self, node, owners, quiet=False):
-        made = Precedence(node)
+    def _precedence(self, node, owners, quiet=False):
+        precedence = Precedence(node)
         items = dict.fromkeys(self.engines, 2)
-        made.update_others(
+        precedence.update_others(
             {
-                one: SimpleNamespace(batch=items, quiet=quiet)
-                for one in owners
-                if one != node
+                owner: SimpleNamespace(batch=items, quiet=quiet)
+                for owner in owners
+                if owner != node
             }
         )
-        return made
+        return precedence
 
 
-class IdlePlacesTest(unittest.TestCase):
-    """A young job leaves more places to bursts than one that is due."""
+class ItemSlotsTest(unittest.TestCase):
+    """Headroom is larger for a young job than for one near its target."""
 
     @parameterized.expand(
         [
@@ -271,11 +279,11 @@
             ('full', 6, 3, 0.9, 0),
         ],
     )
-    def test_places(self, _name, online, batch, age, expected):
+    def test_slots(self, _name, online, batch, age, expected):
         view = EngineView(_ENGINE, online=online, batch=batch)
-        places = ItemSlots([view])
+        slots = ItemSlots([view])
         taken = 0
-        while places.take(age):
+        while slots.take(age):
             taken += 1
         self.assertEqual(expected, taken)
 
@@ -287,15 +295,15 @@
             ('last_place_where_led', {'a': 7}, {'a'}, 'a'),
         ]
     )
-    def test_places_of_others(self, _name, batch, led, expected):
-        """An item goes where those of no other owner go first, if it can."""
+    def test_slots_of_others(self, _name, batch, first_on, expected):
+        """Engines on which the owner comes first are preferred."""
         views = [_view(name, 0, count) for name, count in batch.items()]
-        taken = ItemSlots(views, first_on=led).take(0.9)
+        taken = ItemSlots(views, first_on=first_on).take(0.9)
         self.assertEqual(expected, taken.name if taken else None)
 
 
 class UrgencyTest(unittest.TestCase):
-    """Items that can still be in time go first, oldest job first."""
+    """Prospect and order of items."""
 
     @parameterized.expand(
         [
@@ -320,13 +328,15 @@
                 Urgency(Prospect.LIKELY, 3),
             ]
         )
-        self.assertEqual([3, 4, 2, 1], [one.accepted_at for one in ranked])
+        self.assertEqual(
+            [3, 4, 2, 1], [urgency.accepted_at for urgency in ranked]
+        )
 
-    def test_pace_is_learnt(self):
-        pace = ItemDurations()
+    def test_run_time_is_learnt(self):
+        durations = ItemDurations()
         for _item in range(60):
-            pace.observe(8)
-        self.assertAlmostEqual(8, pace.seconds, delta=0.1)
+            durations.observe(8)
+        self.assertAlmostEqual(8, durations.seconds, delta=0.1)
 
     @parameterized.expand(
         [
@@ -336,13 +346,13 @@
             ('begun_too_late', 10, 17, 1, Prospect.TOO_LATE),
         ]
     )
-    def test_stops_are_learnt(self, _name, took, age, spent, expected):
-        """A new item that will be stopped again needs more than its run."""
-        pace = ItemDurations()
+    def test_stretch_is_learnt(self, _name, took, age, spent, expected):
+        """Under overload a new item is expected to be preempted."""
+        durations = ItemDurations()
         for _item in range(60):
-            pace.observe(5, took)
-        pace.update_work([0] * 100, 5)
-        urgency = pace.urgency(0, age, spent, 18)
+            durations.observe(5, took)
+        durations.update_work([0] * 100, 5)
+        urgency = durations.urgency(0, age, spent, 18)
         self.assertEqual(expected, urgency.prospect)
 
     @parameterized.expand(
@@ -355,25 +365,27 @@
             ('no_work', [], 0, Prospect.LIKELY),
         ]
     )
-    def test_new_items_yield_only_where_there_is_far_too_much_work(
+    def test_new_items_are_ranked_lower_only_under_overload(
         self, _name, spent, held, expected
     ):
-        """Elsewhere places that they leave stay idle in the next gap."""
-        pace = ItemDurations()
+        """Otherwise slots would stay idle between bursts."""
+        durations = ItemDurations()
         for _item in range(60):
-            pace.observe(5, 10)
-        pace.update_work(spent, held)
-        self.assertEqual(expected, pace.urgency(0, 10, 0, 18).prospect)
+            durations.observe(5, 10)
+        durations.update_work(spent, held)
+        self.assertEqual(expected, durations.urgency(0, 10, 0, 18).prospect)
 
-    def test_places_are_counted_over_bursts_and_gaps(self):
-        """A burst that takes all places for a moment is no lack of them."""
-        pace = ItemDurations()
+    def test_slots_are_averaged_over_bursts(self):
+        """A burst that takes all slots for a moment is no overload."""
+        durations = ItemDurations()
         for _item in range(60):
-            pace.observe(5, 10)
-        for _look in range(100):
-            pace.update_work([0] * 30, 10)
-        pace.update_work([0] * 30, 0)
-        self.assertEqual(Prospect.LIKELY, pace.urgency(0, 10, 0, 18).prospect)
+            durations.observe(5, 10)
+        for _update in range(100):
+            durations.update_work([0] * 30, 10)
+        durations.update_work([0] * 30, 0)
+        self.assertEqual(
+            Prospect.LIKELY, durations.urgency(0, 10, 0, 18).prospect
+        )
 
 
 if __name__ == '__main__':
--- a/tests/test_gateway_traffic.py
+++ b/tests/test_gateway_traffic.py
@@ -1,4 +1,4 @@
-"""What a process that runs no requests of clients knows of them."""
+"""Traffic estimates of a process that serves no online requests."""
 
 import unittest
 
@@ -28,7 +28,7 @@
 
 
 class TrafficTest(unittest.TestCase):
-    """An owner hears from entries how long requests run."""
+    """Run times and delays as reported by entries."""
 
     @parameterized.expand(
         [
@@ -53,7 +53,7 @@
             ('old', 0.7, 0.2, 2),
         ]
     )
-    def test_places_kept(self, _name, run_seconds, delay, expected):
+    def test_reserved_slots(self, _name, run_seconds, delay, expected):
         views = [EngineView(_ENGINE, online=7)] * 3
         self.assertEqual(
             expected, reserved_slots(views, Traffic(run_seconds, delay))
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -1,4 +1,4 @@
-"""Who is held until a place comes free."""
+"""Queue of retried requests that wait for a free slot."""
 
 import unittest
 
@@ -27,32 +27,32 @@
     b'HTTP/1.1 200 OK\r\nX-Response-Seal: s1\r\nContent-Length: 2\r\n\r\nok'
 )
 _OVER = ShareUse(40, 10)
-_SLIGHTLY = ShareUse(10.5, 10)
+_SLIGHTLY_OVER = ShareUse(10.5, 10)
 
 
-class RulesTest(unittest.TestCase):
-    """What decides on those that are held."""
+class QueuePolicyTest(unittest.TestCase):
+    """Rules of the queue, without an entry."""
 
     def setUp(self):
         self.now = 100.0
-        self.rules = QueuePolicy(lambda: self.now)
+        self.queue = QueuePolicy(lambda: self.now)
 
-    def held(self, team='t', until=1.5, **changed):
-        """Make a request that may be held for some seconds."""
+    def request(self, team='t', until=1.5, **changed):
+        """Make a request that may be queued for some seconds."""
         name = TeamName(team)
         return QueuedRequest(name, self.now, self.now + until, 0.3, **changed)
 
-    def free_places(self, count):
-        """Have places come free, spread over a second."""
-        for _place in range(count):
+    def free_slots(self, count):
+        """Free slots, spread over a second."""
+        for _slot in range(count):
             self.now += 1 / count
-            self.rules.finished()
+            self.queue.finished()
 
-    def hold(self, *requests):
-        """Hold requests that may be held."""
-        for one in requests:
-            self.assertIsNone(self.rules.rejection_reason(one))
-            self.rules.add(one)
+    def enqueue(self, *requests):
+        """Queue requests, all of which must be accepted."""
+        for request in requests:
+            self.assertIsNone(self.queue.rejection_reason(request))
+            self.queue.add(request)
 
     @parameterized.expand(
         [
@@ -64,18 +64,18 @@
             ('came_back_where_all_have_less', 4, 3.5, True),
         ],
     )
-    def test_came_back(self, _name, others, patience, expected):
-        known = RetryDetector()
-        self.assertFalse(known.is_retry(others, 5))
-        self.assertIs(expected, known.is_retry(patience, 5))
+    def test_retry_is_detected(self, _name, others, patience, expected):
+        detector = RetryDetector()
+        self.assertFalse(detector.is_retry(others, 5))
+        self.assertIs(expected, detector.is_retry(patience, 5))
 
     @parameterized.expand(
         [('far', 1.7, True), ('near', 0.8, False), ('over', -1, False)],
     )
-    def test_only_where_the_deadline_is_far(self, _name, left, expected):
+    def test_queued_only_with_a_distant_deadline(self, _name, left, expected):
         self.assertIs(expected, should_queue(left, 0.3))
 
-    def test_a_stream_is_not_awaited_longer_than_its_reader_waits(self):
+    def test_stream_timeout_bounds_the_wait(self):
         self.assertAlmostEqual(
             101.7, latest_send_time(100, 105, 0.3, stream=True)
         )
@@ -83,61 +83,61 @@
             104.7, latest_send_time(100, 105, 0.3, stream=False)
         )
 
-    def test_nobody_is_held_where_no_place_comes_free(self):
-        self.assertIsNotNone(self.rules.rejection_reason(self.held()))
+    def test_rejected_where_no_slot_is_freed(self):
+        self.assertIsNotNone(self.queue.rejection_reason(self.request()))
 
-    def test_as_many_as_are_likely_to_be_served(self):
-        self.free_places(6)
+    def test_length_is_bounded_by_the_rate(self):
+        self.free_slots(6)
         count = 0
-        while self.rules.rejection_reason(self.held(f't{count}')) is None:
-            self.rules.add(self.held(f't{count}'))
+        while self.queue.rejection_reason(self.request(f't{count}')) is None:
+            self.queue.add(self.request(f't{count}'))
             count += 1
         self.assertIn(count, range(1, 6))
 
     def test_order(self):
-        self.free_places(100)
-        last = self.held('a', share_use=_SLIGHTLY)
-        later = self.held('b', 1.4)
-        urgent = self.held('c', priority=(-1, 0))
-        first = self.held('d', 1.2)
-        self.hold(last, later, first, urgent)
-        self.assertEqual([urgent, first, later, last], self.rules.queued)
-
-    def test_the_first_goes_on_and_only_as_places_come_free(self):
-        self.free_places(100)
-        self.hold(*[self.held() for _request in range(5)])
-        going = [self.rules.release(0) for _look in range(5)]
-        self.assertEqual([True] * 2 + [False] * 3, [one is not None for one in going])  # fmt: skip  # noqa: E501
-        self.rules.finished()
-        self.assertIsNone(self.rules.release(0.5))
-        self.assertIsNotNone(self.rules.release(0.1))
-
-    def test_a_team_over_its_share_is_not_held(self):
-        self.free_places(100)
+        self.free_slots(100)
+        last = self.request('a', share_use=_SLIGHTLY_OVER)
+        later = self.request('b', 1.4)
+        urgent = self.request('c', priority=(-1, 0))
+        first = self.request('d', 1.2)
+        self.enqueue(last, later, first, urgent)
+        self.assertEqual([urgent, first, later, last], self.queue.queued)
+
+    def test_release_follows_freed_slots(self):
+        self.free_slots(100)
+        self.enqueue(*[self.request() for _request in range(5)])
+        going = [self.queue.release(0) for _attempt in range(5)]
+        self.assertEqual([True] * 2 + [False] * 3, [request is not None for request in going])  # fmt: skip  # noqa: E501
+        self.queue.finished()
+        self.assertIsNone(self.queue.release(0.5))
+        self.assertIsNotNone(self.queue.release(0.1))
+
+    def test_team_over_its_share_is_rejected(self):
+        self.free_slots(100)
         self.assertIsNotNone(
-            self.rules.rejection_reason(self.held(share_use=_OVER))
+            self.queue.rejection_reason(self.request(share_use=_OVER))
         )
 
-    def test_new_ones_stay_behind_those_that_came_back(self):
-        self.free_places(100)
-        self.assertFalse(self.rules.is_ahead_of(ShareUse()))
-        self.hold(self.held())
-        self.assertTrue(self.rules.is_ahead_of(ShareUse()))
+    def test_retries_precede_new_requests(self):
+        self.free_slots(100)
+        self.assertFalse(self.queue.is_ahead_of(ShareUse()))
+        self.enqueue(self.request())
+        self.assertTrue(self.queue.is_ahead_of(ShareUse()))
         behind = AdmissionRequest(0.3, 5, ShareUse(), behind=True)
         self.assertIsNotNone(check_admission(behind, 0.15, lambda: 0.5))
         self.assertIsNone(
             check_admission(AdmissionRequest(0.3, 5), 0.15, lambda: 0.5)
         )
 
-    def test_hopeless_once_places_stay_away(self):
-        self.free_places(20)
-        held = [self.held() for _request in range(4)]
-        self.hold(*held)
-        self.assertEqual([], self.rules.expired())
+    def test_expired_once_no_slots_are_freed(self):
+        self.free_slots(20)
+        requests = [self.request() for _request in range(4)]
+        self.enqueue(*requests)
+        self.assertEqual([], self.queue.expired())
         self.now += 1.2
-        self.assertTrue(self.rules.expired())
+        self.assertTrue(self.queue.expired())
         self.now += 0.4
-        self.assertEqual(held, self.rules.expired())
+        self.assertEqual(requests, self.queue.expired())
 
     @given(
         st.lists(
@@ -149,39 +149,41 @@
     )
     @settings(max_examples=50, deadline=None)
     def test_bounded_in_count_and_bytes(self, asked):
-        rules = QueuePolicy(lambda: 100.0)
-        for _place in range(5000):
-            rules.finished()
+        queue = QueuePolicy(lambda: 100.0)
+        for _slot in range(5000):
+            queue.finished()
         for team, size in asked:
-            one = QueuedRequest(TeamName(team), 100, 102, 0.3, size=size)
-            if rules.rejection_reason(one) is None:
-                rules.add(one)
-        teams = [one.team for one in rules.queued]
+            request = QueuedRequest(TeamName(team), 100, 102, 0.3, size=size)
+            if queue.rejection_reason(request) is None:
+                queue.add(request)
+        teams = [request.team for request in queue.queued]
         self.assertLessEqual(max(map(teams.count, teams), default=0), 8)
         self.assertLessEqual(len(teams), 64)
-        self.assertLessEqual(sum(one.size for one in rules.queued), 4_194_304)
+        self.assertLessEqual(
+            sum(request.size for request in queue.queued), 4_194_304
+        )
 
 
-class RoomTest(EntryCase):
-    """Requests that an entry holds."""
+class WaitingRoomTest(EntryCase):
+    """Queued requests of a running entry."""
 
     def begin(self):
-        """Start an entry with one engine, whose places are all taken."""
+        """Start an entry with one engine whose slots are all in use."""
         self.start(route('safe'), answers=[_PLAIN])
         fleet = self.entry.fleet
         fleet.pace.run_seconds = 1.0
         fleet.loads.own.online['i-0'] += 14
-        # One that has not come back shows how long callers have.
+        # A first attempt sets the usual timeout of clients.
         self.read(self.ask())
-        for _place in range(20):
+        for _slot in range(20):
             self.entry.room.finished('s1')
 
     def free(self):
-        """Have the places come free."""
+        """Free the slots of the engine."""
         self.entry.fleet.loads.own.online['i-0'] -= 14
 
     def waiting(self):
-        """Count those that are held."""
+        """Count the queued requests."""
         return sum(self.entry.room.waiting.values())
 
     @parameterized.expand(
@@ -197,7 +199,7 @@
         self.assertEqual(503, head.status)
         self.assertIsNotNone(head.find('retry-after'))
 
-    def test_served_once_a_place_is_free(self):
+    def test_served_once_a_slot_is_free(self):
         self.begin()
         asking = self.ask(patience=1800)
         eventually(lambda: self.waiting() == 1)
@@ -208,7 +210,7 @@
         self.assertEqual(0, self.waiting())
         self.assertEqual(1, self.entry.metrics.load.held['released'])
 
-    def test_a_caller_that_leaves_gives_its_room_back(self):
+    def test_disconnected_client_leaves_the_queue(self):
         self.begin()
         asking = self.ask(patience=1800)
         eventually(lambda: self.waiting() == 1)
@@ -218,7 +220,7 @@
         gevent.sleep(0.1)
         self.assertEqual(0, self.sent())
 
-    def test_refused_as_soon_as_no_place_is_to_be_expected(self):
+    def test_refused_once_no_slot_is_expected(self):
         self.begin()
         with gevent.Timeout(1.7):
             head, _body = self.read(self.ask(patience=1800))
@@ -226,7 +228,7 @@
         self.assertEqual(1, self.entry.metrics.load.held['given_up'])
         self.assertEqual(0, self.sent())
 
-    def test_an_entry_that_ends_says_that_it_has_not_run(self):
+    def test_stopping_entry_refuses_queued_requests(self):
         self.begin()
         asking = self.ask(patience=1800)
         eventually(lambda: self.waiting() == 1)
--- a/tests/test_gateway_yielding_items.py
+++ b/tests/test_gateway_yielding_items.py
@@ -1,4 +1,4 @@
-"""Items of batch jobs beside online requests that press."""
+"""Batch items beside online requests that need their slots."""
 
 import math
 import unittest
@@ -44,7 +44,7 @@
 
 _BEGUN = chunked(event(1, 'a'), headers='X-Response-Seal: s\r\n', last=False)
 _TAIL = chunked(event(2, 'b'), headers='X-Response-Seal: s\r\n')
-_WHOLE = chunked(event(1, 'a'), event(2, 'b'))
+_COMPLETE = chunked(event(1, 'a'), event(2, 'b'))
 _ERROR = b'HTTP/1.1 500 Failed\r\nContent-Length: 0\r\n\r\n'
 _SEED = 1
 _SLOTS = 8
@@ -52,7 +52,7 @@
 _CHAT = ServiceName('chat')
 _A = EngineId('a')
 _B = EngineId('b')
-#: Items of four owners beside square bursts of 1.84 and 0.377 of the mean.
+#: Items of four owners beside bursts of 1.84 and gaps of 0.377 of the mean.
 _BURSTS = Load(
     engines=(6, 5, 5, 5),
     clients=(1, 1, 1, 1),
@@ -67,8 +67,8 @@
 )
 
 
-class YieldReplayTest(unittest.TestCase):
-    """Items use what online requests leave, and cost them nothing."""
+class PreemptionReplayTest(unittest.TestCase):
+    """Items use the slots that online requests leave, without harming them."""
 
     @parameterized.expand(
         [
@@ -112,7 +112,7 @@
             ),
         ]
     )
-    def test_nothing_presses(self, _name, phases, seed, stops, online):
+    def test_without_overload(self, _name, phases, seed, stops, online):
         load = replace(_BURSTS, engines=(9, 9, 9, 9), phases=phases)
         tally = Replay(load, seed).play()
         self.assertEqual(stops, tally.stops)
@@ -120,7 +120,7 @@
         self.assertEqual(1, tally.items_in_time)
 
     def test_items_are_served_no_more_than_online_requests(self):
-        """Over all places for long: neither starves."""
+        """Under lasting overload neither kind starves."""
         load = replace(_BURSTS, engines=(4, 4, 4, 4), online=130)
         tally = Replay(load, _SEED).play()
         served = 1 - tally.lost
@@ -128,19 +128,19 @@
         self.assertGreaterEqual(tally.items_in_time, 0.1)
 
 
-class OnlyEngineTest(OwnerCase):
-    """A service has one engine, and it fails now and then."""
+class SingleEngineTest(OwnerCase):
+    """Items of a service whose only engine fails temporarily."""
 
-    def test_items_run_there_again(self):
-        self.configure(answers=[_ERROR, _ERROR, _WHOLE])
+    def test_items_are_retried_there(self):
+        self.configure(answers=[_ERROR, _ERROR, _COMPLETE])
         node = self.holding()
         self.assertEqual(202, self.submit(node))
         found = eventually(lambda: self.results(node), 5)
         self.assertEqual('completed', found[0]['state'])
 
 
-class RefusedTest(unittest.TestCase):
-    """Who yields while online requests are refused."""
+class DeferralTest(unittest.TestCase):
+    """Deferral of items while online requests are refused."""
 
     @parameterized.expand(
         [
@@ -149,12 +149,12 @@
             ('never', math.inf, False),
         ]
     )
-    def test_lately(self, _name, seconds, expected):
+    def test_recently(self, _name, seconds, expected):
         self.assertEqual(expected, refused_recently(seconds))
 
     @parameterized.expand([('idle', 10, False), ('full', 40, True)])
     def test_false_report(self, _name, online, expected):
-        """No one lacks places while half of them are free."""
+        """Refusals are disregarded while half of the slots are free."""
         self.assertEqual(expected, may_lack_slots(online, 48))
 
     @parameterized.expand(
@@ -165,18 +165,18 @@
             ('too_late', -1, ItemTiming.NOW),
         ]
     )
-    def test_wait(self, _name, spare, expected):
+    def test_item_timing(self, _name, spare, expected):
         self.assertIs(expected, item_timing(spare))
 
     @parameterized.expand(
         [('alone', 160, 1, 16), ('several', 160, 4, 4), ('small', 8, 9, 1)]
     )
-    def test_share(self, _name, slots, owners, expected):
+    def test_undeferrable_share(self, _name, slots, owners, expected):
         self.assertEqual(expected, slots_for_urgent_items(slots, owners))
 
 
 class MovesTest(unittest.TestCase):
-    """A run goes on elsewhere before its engine ends."""
+    """Choice of runs to move before their engine ends."""
 
     @parameterized.expand(
         [
@@ -206,11 +206,11 @@
         self.assertEqual(expected, runs_to_move(runs, idle))
 
 
-class MovedTest(OwnerCase):
-    """An owner moves a run with its progress."""
+class RunMoveTest(OwnerCase):
+    """A moved run resumes from its progress."""
 
     @parameterized.expand(['stalls', 'drains'])
-    def test_run_goes_on_behind_its_last_event(self, way):
+    def test_run_resumes_after_its_last_event(self, way):
         self.configure([_BEGUN])
         node = self.holding()
         self.submit(node)
@@ -234,7 +234,7 @@
 
 
 class RefusalsTest(unittest.TestCase):
-    """Refusals are known by counts that change."""
+    """Refusals are detected by changes of the reported counts."""
 
     def setUp(self):
         self.now = 50.0
@@ -245,8 +245,8 @@
         self.log = mock.Mock()
         self.refusals = Refusals(self.log)
 
-    def hear(self, *counts):
-        """Hear counts of one process, a second after one another."""
+    def receive(self, *counts):
+        """Receive counts of one process, one second apart."""
         for count in counts:
             self.now += 1
             self.refusals.hear(_NODE, {_CHAT: count})
@@ -262,37 +262,37 @@
         ]
     )
     def test_since(self, _name, counts, expected):
-        self.hear(*counts)
+        self.receive(*counts)
         self.assertEqual(expected, self.refusals.since(_CHAT))
 
     @parameterized.expand([('negative', -1), ('huge', 10**15)])
     def test_unusable(self, _name, count):
-        """It is logged once and changes nothing."""
-        self.hear(0, count, count)
+        """An invalid count is logged once and otherwise ignored."""
+        self.receive(0, count, count)
         self.assertEqual(math.inf, self.refusals.since(_CHAT))
         self.log.event.assert_called_once()
 
     def test_all_restarted(self):
-        """Counts of processes that went are forgotten after a time."""
-        self.hear(1, 2)
+        """Counts of processes that are gone expire."""
+        self.receive(1, 2)
         self.now += 100
         self.refusals.hear(NodeName('entry-2'), {})
         self.assertEqual(math.inf, self.refusals.since(_CHAT))
         self.assertNotIn(_NODE, self.refusals._told)
 
     def test_report_of_an_older_process(self):
-        told = msgspec.json.decode(
+        report = msgspec.json.decode(
             b'{"node": "entry-1", "sound": true, "leaving": false}',
             type=NodeReport,
         )
-        self.assertEqual({}, told.refused)
+        self.assertEqual({}, report.refused)
 
 
-class HeldBackTest(OwnerCase):
-    """An owner gives places back while online requests are refused."""
+class HoldBackTest(OwnerCase):
+    """An owner preempts items while online requests are refused."""
 
     def begin(self, run_target_ms=60_000):
-        """Start an owner whose item runs on while its engine is half full."""
+        """Start an owner with a running item and a half-used engine."""
         batch = route('batch', priority=2, run_target_ms=run_target_ms)
         online = route('stream', name='r-2', path_prefix='/y/')
         self.configure(run_target_ms=run_target_ms)
@@ -305,8 +305,8 @@
         self.submit(self.node)
         eventually(lambda: len(self.engine.requests) == 1)
 
-    def tell(self, refused):
-        """Have an entry tell how many it has refused so far."""
+    def report(self, refused):
+        """Receive an entry's report of its refusals so far."""
         self.node.fleet.notice(
             NodeReport(
                 node=_NODE, sound=True, leaving=False, refused={'s1': refused}
@@ -314,13 +314,13 @@
         )
 
     def held_back(self):
-        """Tell whether items are held back, as operators see it."""
+        """Return whether items are held back, by the state dump."""
         return self.node.state()['items']['s1']['held_back']
 
-    def test_item_that_can_wait_goes_on_afterwards(self):
+    def test_deferrable_item_resumes_afterwards(self):
         self.begin()
-        self.tell(1)
-        self.tell(2)
+        self.report(1)
+        self.report(2)
         eventually(self.held_back)
         eventually(lambda: not self.node._runner.running)
         eventually(lambda: not self.held_back())
@@ -328,10 +328,10 @@
         stops = self.node.metrics.load.item_stops
         self.assertEqual({'held_back': 1}, dict(stops))
 
-    def test_item_that_can_wait_no_longer_keeps_its_place(self):
+    def test_undeferrable_item_keeps_its_slot(self):
         self.begin(run_target_ms=8000)
-        self.tell(1)
-        self.tell(2)
+        self.report(1)
+        self.report(2)
         eventually(self.held_back)
         self.assertEqual(1, self.node._runner.running)
 
@@ -342,19 +342,19 @@
             ('unusable', {}, (1, -2, -3)),
         ]
     )
-    def test_item_runs_on(self, _name, online, told):
+    def test_item_is_not_preempted(self, _name, online, reported):
         self.begin()
         self.node.fleet.loads.own.online.update(online)
-        for count in told:
-            self.tell(count)
+        for count in reported:
+            self.report(count)
         gevent.sleep(0.2)
         self.assertFalse(self.held_back())
         self.assertEqual(1, self.node._runner.running)
 
-    def test_owner_that_dies_leaves_its_items_to_the_next(self):
+    def test_held_back_items_are_taken_over(self):
         self.begin()
-        self.tell(1)
-        self.tell(2)
+        self.report(1)
+        self.report(2)
         eventually(lambda: not self.node._runner.running)
         second = self.owner('owner-2')
         self.node.leaving = True
