--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -210,7 +210,7 @@
                 self.log.event(
                     'strain',
                     strained=self._strain.strained,
-                    late=round(self._strain.late, 3),
+                    late=round(self._strain.timer_delay, 3),
                     memory=round(room.memory, 2),
                     connections=round(room.connections, 2),
                 )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -72,7 +72,7 @@
 
     def finished(self, service: ServiceName) -> None:
         """Record that a request of this process has freed its slot."""
-        self._rules_of(service).finished()
+        self._rules_of(service).record_finished()
 
     def wait(self, exchange: Exchange, service: ServiceName) -> str | None:
         """Wait for a slot; return why none was available, else ``None``."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/overload.py
@@ -30,14 +30,16 @@
     """Overload detector by timer delay and resource use."""
 
     #: Moving average of the timer delay in seconds.
-    late: float = 0
+    timer_delay: float = 0
     strained: bool = False
 
-    def update(self, late: float, use: ResourceUse) -> bool:
+    def update(self, delay: float, use: ResourceUse) -> bool:
         """Add a sample; return whether ``strained`` has changed."""
-        self.late += (late - self.late) * _SMOOTHING
+        self.timer_delay += (delay - self.timer_delay) * _SMOOTHING
         used = max(use.memory, use.connections)
-        pressure = max(self.late / LATE_TIMER_SECONDS, used / HIGH_USE_SHARE)
+        pressure = max(
+            self.timer_delay / LATE_TIMER_SECONDS, used / HIGH_USE_SHARE
+        )
         previous = self.strained
         threshold = _RECOVERY_SHARE if previous else 1
         self.strained = pressure > threshold
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/queue_policy.py
@@ -178,7 +178,7 @@
             self._queued.pop(queued)
             self._bytes -= queued.size
 
-    def finished(self) -> None:
+    def record_finished(self) -> None:
         """Record that a request of this entry has ended and freed its slot."""
         now = self._now()
         self._freed.add(now, 1)
--- a/testing/src/bendlead_testing/runner.py
+++ b/testing/src/bendlead_testing/runner.py
@@ -30,7 +30,7 @@
     'test_gateway_uneven',
     'test_gateway_turns',
     'test_gateway_engine_health',
-    'test_gateway_yielding_items',
+    'test_gateway_item_preemption',
 )
 
 
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -421,7 +421,7 @@
                 asked.seconds,
                 0,
                 lambda began: self._first(asked, began),
-                lambda _ended: entry.rules.finished(),
+                lambda _ended: entry.rules.record_finished(),
             )
         )
 
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -46,7 +46,7 @@
         """Free slots, spread over a second."""
         for _slot in range(count):
             self.now += 1 / count
-            self.queue.finished()
+            self.queue.record_finished()
 
     def enqueue(self, *requests):
         """Queue requests, all of which must be accepted."""
@@ -108,7 +108,7 @@
         self.enqueue(*[self.request() for _request in range(5)])
         going = [self.queue.release(0) for _attempt in range(5)]
         self.assertEqual([True] * 2 + [False] * 3, [request is not None for request in going])  # fmt: skip  # noqa: E501
-        self.queue.finished()
+        self.queue.record_finished()
         self.assertIsNone(self.queue.release(0.5))
         self.assertIsNotNone(self.queue.release(0.1))
 
@@ -151,7 +151,7 @@
     def test_bounded_in_count_and_bytes(self, asked):
         queue = QueuePolicy(lambda: 100.0)
         for _slot in range(5000):
-            queue.finished()
+            queue.record_finished()
         for team, size in asked:
             request = QueuedRequest(TeamName(team), 100, 102, 0.3, size=size)
             if queue.rejection_reason(request) is None:
