--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -153,7 +153,7 @@
             self._candidates.remaining_seconds(run.progress),
             run.silent_seconds,
             draining=not self._fleet.engines.takes_requests(engine),
-            isolated=self._fleet.balancer.view(engine).paused,
+            paused=self._fleet.balancer.view(engine).paused,
         )
 
     def _update_state(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
@@ -1,7 +1,7 @@
 """Choice of item runs to move to another engine.
 
-Runs on engines that drain, lose contact with the control plane or stop sending
-events are moved before the engine ends, so that no time is lost.
+Runs on engines that drain, are paused or stop sending events are moved before
+the engine ends, so that no time is lost.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 _STALLED_SECONDS = 0.7
 #: A run that completes within this time stays: a move repeats its prompt.
 _MIN_REMAINING_SECONDS = 1.0
-#: Time without an event after which an isolated engine may be lost.
+#: Time without an event after which a paused engine may be lost.
 _QUIET_SECONDS = 0.25
 #: If a larger share of the runs has stalled, the local network is at fault.
 _MAX_STALLED_SHARE = 0.5
@@ -28,7 +28,7 @@
     remaining: float
     silent: float = 0
     draining: bool = False
-    isolated: bool = False
+    paused: bool = False
 
     @property
     def stalled(self) -> bool:
@@ -38,9 +38,7 @@
     @property
     def endangered(self) -> bool:
         """Return whether the engine may end before the run completes."""
-        ending = self.draining or (
-            self.isolated and self.silent > _QUIET_SECONDS
-        )
+        ending = self.draining or (self.paused and self.silent > _QUIET_SECONDS)
         return ending and self.remaining > _MIN_REMAINING_SECONDS
 
 
--- a/tests/test_gateway_fair_order.py
+++ b/tests/test_gateway_fair_order.py
@@ -37,14 +37,17 @@
                 [item for _index, item in left], float(number)
             )
             taken = [
-                place for place, _slot in zip(order, range(slots), strict=False)
+                position
+                for position, _slot in zip(order, range(slots), strict=False)
             ]
-            for place in taken:
-                index, item = left[place]
+            for position in taken:
+                index, item = left[position]
                 begun[index] = number
                 self.fair_order.record_start(item, float(number))
             left = [
-                item for place, item in enumerate(left) if place not in taken
+                item
+                for position, item in enumerate(left)
+                if position not in taken
             ]
         return begun
 
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -182,8 +182,8 @@
         [
             ('all_well', [RunView(4, 0.02), RunView(4)], 9, []),
             ('leaving', [RunView(4), RunView(4, draining=True)], 9, [1]),
-            ('left_alone', [RunView(4, 0.4, isolated=True)], 9, [0]),
-            ('left_alone_at_work', [RunView(4, 0.02, isolated=True)], 9, []),
+            ('left_alone', [RunView(4, 0.4, paused=True)], 9, [0]),
+            ('left_alone_at_work', [RunView(4, 0.02, paused=True)], 9, []),
             ('whole_soon', [RunView(0.5, draining=True)], 9, []),
             ('no_place', [RunView(4, draining=True)], 0, []),
             ('fewer_than_none', [RunView(4, draining=True)], -3, []),
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -95,8 +95,8 @@
         # 14 requests of 0.7 s and reports 0.2 s old: four unseen requests.
         traffic = Traffic(0.7, 0.2)
         taken = [
-            placement.choose_engine(views, traffic, _draws(0, lot)).view.name
-            for lot in (0.1, 0.3, 0.5, 0.7, 0.9)
+            placement.choose_engine(views, traffic, _draws(0, number)).view.name
+            for number in (0.1, 0.3, 0.5, 0.7, 0.9)
         ]
         self.assertNotIn('c', taken)
         self.assertGreater(taken.count('a'), taken.count('b'))
--- a/tests/test_gateway_traffic.py
+++ b/tests/test_gateway_traffic.py
@@ -38,9 +38,9 @@
             ('all_count', [0.7] + [0.9] * 300, 0.9),
         ]
     )
-    def test_run_seconds(self, _name, told, expected):
+    def test_run_seconds(self, _name, reported, expected):
         pace = PaceTable()
-        for seconds in told:
+        for seconds in reported:
             pace.hear_run(seconds)
         self.assertAlmostEqual(expected, pace.run_seconds, delta=0.01)
 
