--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
@@ -5,17 +5,17 @@
 from msgspec import Struct
 
 from bendlead_gateway._fleet.balancer import Balancer
-from bendlead_gateway._scheduling.places import (
-    ItemPlaces,
-    places_kept,
-    surplus,
+from bendlead_gateway._scheduling.deferral import (
+    may_lack_slots,
+    refused_recently,
+    slots_for_urgent_items,
 )
-from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.refused import (
-    may_lack_places,
-    places_for_late,
-    refused_lately,
+from bendlead_gateway._scheduling.item_slots import (
+    ItemSlots,
+    reserved_slots,
+    runs_to_preempt,
 )
+from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import Engine, EngineId, ServiceName
 
@@ -67,17 +67,19 @@
         before = self._precedence.items_before(engine.engine)
         headroom = self._view(engine.service).headroom
         # The service's view leaves out engines that take no new requests.
-        return surplus(self._balancer.view(engine), runs, headroom, before)
+        return runs_to_preempt(
+            self._balancer.view(engine), runs, headroom, before
+        )
 
-    def free_slots(self, service: ServiceName) -> ItemPlaces:
+    def free_slots(self, service: ServiceName) -> ItemSlots:
         """Return the slots of a service that items may use."""
         view = self._view(service)
         led = {
             engine.name
             for engine in view.engines
-            if self._precedence.leads(engine.name)
+            if self._precedence.comes_first(engine.name)
         }
-        return ItemPlaces(view.engines, view.headroom, led)
+        return ItemSlots(view.engines, view.headroom, led)
 
     def lacks_online_slots(
         self, service: ServiceName, refused_seconds: float
@@ -87,11 +89,11 @@
         ``refused_seconds`` is the time since the last refusal. Engines that
         take no new requests do not count.
         """
-        if not refused_lately(refused_seconds):
+        if not refused_recently(refused_seconds):
             return False
         engines = self._view(service).engines
         online = sum(engine.online for engine in engines)
-        return may_lack_places(online, _count_slots(engines))
+        return may_lack_slots(online, _count_slots(engines))
 
     def spare_slots(
         self, service: ServiceName, excluded: Container[EngineId]
@@ -110,13 +112,13 @@
     def urgent_slots(self, service: ServiceName) -> int:
         """Count the slots for urgent items while online requests lack slots."""
         slots = _count_slots(self._view(service).engines)
-        return places_for_late(slots, self._precedence.owners)
+        return slots_for_urgent_items(slots, self._precedence.owners)
 
     def _view(self, service: ServiceName) -> '_ServiceView':
         view = self._views.get(service)
         if view is None:
             engines = self._balancer.views(service)
-            headroom = places_kept(engines, self._balancer.traffic)
+            headroom = reserved_slots(engines, self._balancer.traffic)
             view = _ServiceView(engines, headroom)
             self._views[service] = view
         return view
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -28,9 +28,9 @@
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.backlog import BacklogRates
-from bendlead_gateway._scheduling.places import ItemPlaces
+from bendlead_gateway._scheduling.item_slots import ItemSlots
 from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.urgency import ItemPace
+from bendlead_gateway._scheduling.urgency import ItemDurations
 from bendlead_gateway._suspects.ends import Break
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
@@ -64,7 +64,7 @@
         self._executor = ItemExecutor(dialect, fleet)
         self._log = log
         self._metrics = metrics
-        self._pace = ItemPace()
+        self._pace = ItemDurations()
         self._precedence = Precedence(node)
         self._runs: set[ItemRun] = set()
         self._wake = Event()
@@ -99,7 +99,7 @@
     def run(self) -> None:
         """Run scheduling rounds forever: stop runs, then start items."""
         while True:
-            self._precedence.meet(self._loads.item_owners())
+            self._precedence.update_others(self._loads.item_owners())
             capacity = BatchCapacity(self._fleet.balancer, self._precedence)
             self._stopper.check(self._runs, capacity)
             self._work.look(len(self._runs))
@@ -108,7 +108,7 @@
             self._wake.clear()
 
     def _start_runs(self, capacity: BatchCapacity) -> None:
-        free_slots: dict[ServiceName, ItemPlaces] = {}
+        free_slots: dict[ServiceName, ItemSlots] = {}
         running = Counter(run.engine.service for run in self._runs)
         full_routes: set[str] = set()
         tried_services: set[ServiceName] = set()
@@ -131,7 +131,7 @@
         candidate: Candidate,
         service: ServiceName,
         capacity: BatchCapacity,
-        free_slots: dict[ServiceName, ItemPlaces],
+        free_slots: dict[ServiceName, ItemSlots],
     ) -> bool:
         """Start an item in a free slot; return whether there was one."""
         if service not in free_slots:
@@ -255,7 +255,7 @@
         outcome: ItemOutcome,
     ) -> None:
         progress.finished = True
-        self.backlog_rates.finished(
+        self.backlog_rates.record_finished(
             job.host, job.team, progress.item.tokens, clock.uptime()
         )
         text = ''
--- /dev/null
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/item_slots.py
@@ -0,0 +1,92 @@
+"""Slots for batch items, and preemption of items in favour of others.
+
+Online load may double faster than reports reach the owners of items, and the
+gaps between bursts are shorter than an item run.
+"""
+
+from collections.abc import Container, Sequence
+
+from msgspec.structs import replace
+
+from bendlead_gateway._scheduling.placement import Traffic
+from bendlead_gateway._scheduling.view import EngineView
+from bendlead_gateway.types import EngineId
+
+#: Slots left free by job age, a share of the job's time: up to which age, and
+#: how many. Items of older jobs risk preemption to meet their target.
+_HEADROOM = ((0.2, 1),)
+_MIN_HEADROOM = 0
+#: Mean number of unseen requests per engine from which a slot is kept for them.
+_MIN_UNSEEN = 0.3
+#: Further slots left where another owner has precedence: both may take the same
+#: slot before their reports arrive, and this owner's run would be preempted.
+PRECEDENCE_HEADROOM = 1
+
+
+def reserved_slots(views: Sequence[EngineView], traffic: Traffic) -> int:
+    """Return the slots to keep on each engine for unseen requests."""
+    if not views:
+        return 0
+    unseen = traffic.unseen(sum(view.online for view in views)) / len(views)
+    return int(unseen + 1 - _MIN_UNSEEN)
+
+
+class ItemSlots:
+    """Allocator of the idle slots at one moment.
+
+    ``first_on`` are the engines on which this owner comes first, ``None`` if on
+    all.
+    """
+
+    def __init__(
+        self,
+        views: Sequence[EngineView],
+        kept: int = 0,
+        first_on: Container[EngineId] | None = None,
+    ) -> None:
+        self._kept = kept
+        self._first_on = first_on
+        # If all engines are paused, the fault is more likely on this side.
+        usable = [view for view in views if not view.paused] or views
+        self._views: dict[EngineId, EngineView] = {
+            view.name: view for view in usable
+        }
+
+    def take(self, age: float) -> EngineView | None:
+        """Take a slot on the engine with most idle ones, if there is one.
+
+        ``age`` is the elapsed share of the job's time.
+        """
+        best = max(self._views.values(), key=self._idle, default=None)
+        if best is None or self._idle(best) <= headroom(age):
+            return None
+        updated = replace(best, batch=best.batch + 1)
+        self._views[best.name] = updated
+        return updated
+
+    def _idle(self, view: EngineView) -> int:
+        """Count the idle slots of an engine, before headroom by age."""
+        idle = view.free - self._kept
+        if self._first_on is None or view.name in self._first_on:
+            return idle
+        return idle - PRECEDENCE_HEADROOM
+
+
+def runs_to_preempt(
+    view: EngineView, runs: int, kept: int = 0, items_before: int = 0
+) -> int:
+    """Return how many of this process's runs to preempt on an engine.
+
+    They make room for online requests, for the slots kept and for items of
+    owners that have precedence.
+    """
+    excess = view.online + kept + items_before + runs - view.slots
+    return min(max(0, excess), runs)
+
+
+def headroom(age: float) -> int:
+    """Return the slots that an item leaves free, by the age of its job."""
+    for max_age, slots in _HEADROOM:
+        if age < max_age:
+            return slots
+    return _MIN_HEADROOM
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -25,7 +25,7 @@
 )
 from bendlead_gateway._health.preference import prefer_trusted
 from bendlead_gateway._health.trial import TrialNode, TrialSchedule, rank
-from bendlead_gateway._scheduling.placement import Traffic, choose
+from bendlead_gateway._scheduling.placement import Traffic, choose_engine
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -256,7 +256,7 @@
         view = trial
         if view is None:
             traffic = Traffic(_RUN_SECONDS, sum(self.load.update_delay) / 2)
-            placed = choose(views, traffic, self._random.random)
+            placed = choose_engine(views, traffic, self._random.random)
             assert placed is not None
             view = placed.view
         self._run(entry, request, view.engine)
@@ -266,12 +266,12 @@
         near = engine.hall == entry.hall
         if self.mode is DetectionMode.LOCAL:
             paused = entry.health.paused(engine.engine)
-            return EngineView(engine, online, near=near, paused=paused)
+            return EngineView(engine, online, same_hall=near, paused=paused)
         assessment = entry.monitor.assess(incarnation_of(engine), self._now)
         return EngineView(
             engine,
             online + assessment.failure_load,
-            near=near,
+            same_hall=near,
             paused=assessment.out_of_rotation,
             doubted=assessment.state is HealthState.DOUBTED,
         )
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -3,19 +3,23 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
+from bendlead_gateway._scheduling.deferral import (
+    ItemTiming,
+    item_timing,
+    may_lack_slots,
+    refused_recently,
+    slots_for_urgent_items,
+)
+from bendlead_gateway._scheduling.item_slots import (
+    ItemSlots,
+    reserved_slots,
+    runs_to_preempt,
+)
 from bendlead_gateway._scheduling.placement import Traffic
-from bendlead_gateway._scheduling.places import ItemPlaces, places_kept, surplus
 from bendlead_gateway._scheduling.precedence import Precedence
-from bendlead_gateway._scheduling.refused import (
-    Wait,
-    judge_wait,
-    may_lack_places,
-    places_for_late,
-    refused_lately,
-)
 from bendlead_gateway._scheduling.urgency import (
-    LOOK_SECONDS,
-    ItemPace,
+    UPDATE_INTERVAL_SECONDS,
+    ItemDurations,
     Urgency,
 )
 from bendlead_gateway._scheduling.view import EngineView
@@ -71,7 +75,7 @@
         self._tally = tally
         self._traffic = Traffic(load.run, load.age)
         self._precedence = Precedence(_owner_name(number))
-        self._pace = ItemPace()
+        self._pace = ItemDurations()
         self.items: list[Item] = []
         self._look_again_at = 0.0
         self._places_for_late: int | None = None
@@ -79,7 +83,7 @@
     def look(self) -> None:
         """Look for places, and again after each pause."""
         views = self._views()
-        kept = places_kept(views, self._traffic)
+        kept = reserved_slots(views, self._traffic)
         self._meet()
         self._step_aside(views, kept)
         self._hold_back(views)
@@ -90,10 +94,10 @@
     def _look_at_work(self) -> None:
         if self._clock.now < self._look_again_at:
             return
-        self._look_again_at = self._clock.now + LOOK_SECONDS
+        self._look_again_at = self._clock.now + UPDATE_INTERVAL_SECONDS
         unfinished = [one for one in self.items if one.whole is None]
         held = sum(one.run is not None for one in unfinished)
-        self._pace.look([self._spent(one) for one in unfinished], held)
+        self._pace.update_work([self._spent(one) for one in unfinished], held)
 
     def _spent(self, item: Item) -> float:
         running = self._held(item.run) if item.run is not None else 0
@@ -121,7 +125,7 @@
         """Take the items of the other owners, as they were."""
         names = [one.engine.engine for one in self._fleet.engines]
         past = self._fleet.past(self._load.age)
-        self._precedence.meet(
+        self._precedence.update_others(
             {
                 _owner_name(number): _OwnerItems(
                     dict(zip(names, counts, strict=True))
@@ -139,7 +143,7 @@
                 if one.run and one.run.engine.engine is view.engine
             ]
             before = self._precedence.items_before(view.name)
-            over = surplus(view, len(mine), kept, before)
+            over = runs_to_preempt(view, len(mine), kept, before)
             mine.sort(key=self._urgency)
             for item in mine[len(mine) - over :]:
                 self._stop(item)
@@ -151,15 +155,15 @@
         online = sum(one.online for one in views)
         lack = (
             self._load.holds_back
-            and refused_lately(refused)
-            and may_lack_places(online, slots)
+            and refused_recently(refused)
+            and may_lack_slots(online, slots)
         )
-        places = places_for_late(slots, self._precedence.owners)
+        places = slots_for_urgent_items(slots, self._precedence.owners)
         self._places_for_late = places if lack else None
         runs = [one for one in self.items if one.run]
         runs.sort(key=self._urgency)
         for item in runs if lack else ():
-            if places and self._wait(item) is Wait.NOW:
+            if places and self._wait(item) is ItemTiming.NOW:
                 places -= 1
             else:
                 self._stop(item)
@@ -170,11 +174,11 @@
         if most is None:
             return True
         running = sum(one.run is not None for one in self.items)
-        return running < most and self._wait(item) is Wait.NOW
+        return running < most and self._wait(item) is ItemTiming.NOW
 
-    def _wait(self, item: Item) -> Wait:
+    def _wait(self, item: Item) -> ItemTiming:
         age = self._clock.now - item.accepted
-        return judge_wait(
+        return item_timing(
             self._pace.spare(age, self._spent(item), self._load.item_due)
         )
 
@@ -206,9 +210,11 @@
                 return
             self._start(item, view)
 
-    def _places(self, views: Sequence[EngineView], kept: int) -> ItemPlaces:
-        led = {one.name for one in views if self._precedence.leads(one.name)}
-        return ItemPlaces(views, kept, led)
+    def _places(self, views: Sequence[EngineView], kept: int) -> ItemSlots:
+        led = {
+            one.name for one in views if self._precedence.comes_first(one.name)
+        }
+        return ItemSlots(views, kept, led)
 
     def _start(self, item: Item, view: EngineView) -> None:
         engine = self._fleet.engine(view.engine)
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -14,13 +14,13 @@
 from typing import NamedTuple
 
 from bendlead_gateway._scheduling import admission, placement
-from bendlead_gateway._scheduling.turns import Turn
-from bendlead_gateway._scheduling.view import EngineView
-from bendlead_gateway._scheduling.waiting import (
+from bendlead_gateway._scheduling.queue_policy import (
     QueuedRequest,
-    WaitingRules,
+    QueuePolicy,
     rank,
 )
+from bendlead_gateway._scheduling.team_shares import ShareUse
+from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._teams.limits import TeamLimits
 from bendlead_gateway._teams.quota import Group
 from bendlead_gateway._teams.shares import TeamShares
@@ -143,11 +143,11 @@
         self._all = load.engines * load.slots / load.run
         self._weights = sum(one.rate or 1 for one in load.teams)
 
-    def turn(self, team: Team | None) -> Turn:
+    def turn(self, team: Team | None) -> ShareUse:
         """Compare with a fixed part of all places."""
         assert team is not None
         had = self._sums.get(team.name, 0.0) / self._scale()
-        return Turn(had, self._all * (team.rate or 1) / self._weights + 2)
+        return ShareUse(had, self._all * (team.rate or 1) / self._weights + 2)
 
 
 class _Lag(_Places):
@@ -162,13 +162,13 @@
         level = max(0, min(level, rate + 4))
         self._sums[team] = (level, self._now())  # type: ignore[assignment]
 
-    def turn(self, team: Team | None) -> Turn:
+    def turn(self, team: Team | None) -> ShareUse:
         """Compare with a quarter of a second of the share."""
         assert team is not None
         self.add(team.name, 0)
         level, _at = self._sums[team.name]  # type: ignore[misc]
         rate = self._all * (team.rate or 1) / self._weights
-        return Turn(level, rate / 4 + 2)
+        return ShareUse(level, rate / 4 + 2)
 
 
 _SHARES = {Way.AVERAGE: TeamShares, Way.PLACES: _Places, Way.LAG: _Lag}
@@ -205,7 +205,7 @@
             life,
             self.shares,
         )
-        self.rules = WaitingRules(clock)
+        self.rules = QueuePolicy(clock)
         self.waiting: dict[QueuedRequest, _Asked] = {}
         self.looking = False
 
@@ -356,11 +356,13 @@
             self._come_back(asked, later, 'over_limit')
             return
         left = self._left(asked)
-        turn = entry.shares.turn(team) if entry.shares else Turn()
+        turn = entry.shares.turn(team) if entry.shares else ShareUse()
         chosen = self._choose()
-        behind = entry.rules.first_before(turn)
+        behind = entry.rules.is_ahead_of(turn)
         question = admission.AdmissionRequest(load.aim, left, turn, behind)
-        refusal = admission.judge(question, chosen.wait, self._chance.random)
+        refusal = admission.check_admission(
+            question, chosen.wait, self._chance.random
+        )
         if refusal is None:
             self._send(asked, chosen.view, entry)
             return
@@ -405,7 +407,9 @@
             for number, one in enumerate(self._fleet.engines)
             if one in self._fleet.ready
         ]
-        chosen = placement.choose(views, self._traffic, self._chance.random)
+        chosen = placement.choose_engine(
+            views, self._traffic, self._chance.random
+        )
         assert chosen is not None
         return chosen
 
@@ -417,7 +421,7 @@
                 asked.seconds,
                 0,
                 lambda began: self._first(asked, began),
-                lambda _ended: entry.rules.finished(),
+                lambda _ended: entry.rules.record_finished(),
             )
         )
 
@@ -436,7 +440,7 @@
 
     # What is held at an entry.
 
-    def _hold(self, entry: _Entry, asked: _Asked, turn: Turn) -> bool:
+    def _hold(self, entry: _Entry, asked: _Asked, turn: ShareUse) -> bool:
         team = self.load.teams[asked.team]
         until = self.uptime() + min(
             self._left(asked), _SILENCE_SECONDS - self.load.aim
@@ -449,9 +453,9 @@
             (team.priority, 0),
             turn,
         )
-        if entry.rules.reason_against(held) is not None:
+        if entry.rules.rejection_reason(held) is not None:
             return False
-        entry.rules.enter(held)
+        entry.rules.add(held)
         entry.waiting[held] = asked
         self.tally.most_held = max(self.tally.most_held, len(entry.waiting))
         if not entry.looking:
@@ -460,7 +464,7 @@
         return True
 
     def _look(self, entry: _Entry) -> None:
-        for held in entry.rules.hopeless():
+        for held in entry.rules.expired():
             self._leave(entry, held)
         first = rank(entry.waiting)
         if first:
@@ -473,7 +477,7 @@
             self._clock.after(_LOOK_SECONDS, lambda: self._look(entry))
 
     def _leave(self, entry: _Entry, held: QueuedRequest) -> None:
-        entry.rules.leave(held)
+        entry.rules.remove(held)
         asked = entry.waiting.pop(held)
-        self.tally.held_for_nothing += self.uptime() - held.came
+        self.tally.held_for_nothing += self.uptime() - held.queued_at
         self._refuse(entry, asked, 0.1)
--- a/tests/test_gateway_traffic.py
+++ b/tests/test_gateway_traffic.py
@@ -1,11 +1,11 @@
-"""What a process that runs no requests of clients knows of them."""
+"""Traffic estimates of a process that serves no online requests."""
 
 import unittest
 
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.pace import PaceTable
+from bendlead_gateway._scheduling.item_slots import reserved_slots
 from bendlead_gateway._scheduling.placement import Traffic
-from bendlead_gateway._scheduling.places import places_kept
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import (
     DataHall,
@@ -28,7 +28,7 @@
 
 
 class TrafficTest(unittest.TestCase):
-    """An owner hears from entries how long requests run."""
+    """Run times and delays as reported by entries."""
 
     @parameterized.expand(
         [
@@ -38,9 +38,9 @@
             ('all_count', [0.7] + [0.9] * 300, 0.9),
         ]
     )
-    def test_run_seconds(self, _name, told, expected):
+    def test_run_seconds(self, _name, reported, expected):
         pace = PaceTable()
-        for seconds in told:
+        for seconds in reported:
             pace.hear_run(seconds)
         self.assertAlmostEqual(expected, pace.run_seconds, delta=0.01)
 
@@ -53,10 +53,10 @@
             ('old', 0.7, 0.2, 2),
         ]
     )
-    def test_places_kept(self, _name, run_seconds, delay, expected):
+    def test_reserved_slots(self, _name, run_seconds, delay, expected):
         views = [EngineView(_ENGINE, online=7)] * 3
         self.assertEqual(
-            expected, places_kept(views, Traffic(run_seconds, delay))
+            expected, reserved_slots(views, Traffic(run_seconds, delay))
         )
 
     def test_delay_is_learnt(self):
