--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
@@ -1,17 +1,13 @@
-"""Put reports to a peer of another data hall as changes to the last one.
+"""Encode reports to a peer in another data hall as changes to the previous one.
 
-Load pattern: a steady stream of requests in every hall. Counts change with each
-of them, while names of engines, claims and revisions stay as they are; between
-halls, where bytes are paid for, only what differs is worth its way.
+Reports are compared field by field, so fields added to ``NodeReport`` or
+``ToldLoad`` are covered without changes here. Numbers are sent as differences,
+mappings as the entries that differ, and all other fields in full. Names are
+sent once per link and then referred to by index.
 
-A report is compared field by field, so a field that is added to ``NodeReport``
-or ``ToldLoad`` is told as soon as it changes, with nothing to do here. Numbers
-are told by how much they grew, mappings by the names whose values differ, and
-all else whole. Names are told once on a link and numbered.
-
-Exchanges of a pair follow one another, and each side says which report of the
-other it holds. Whatever was lost, by a lost answer, a restart or two exchanges
-at once, that number is not the last one sent: the next report is whole.
+Each side acknowledges the number of the last report that it received. If that
+is not the number sent last (a response was lost, a process restarted, or both
+sides asked at once), the next report is sent in full.
 """
 
 import random
@@ -22,13 +18,13 @@
 from bendlead_schema.gateway import NodeReport, ReportChange, ToldLoad
 from msgspec import UNSET, Struct, field
 
-#: Numbers begin at random below this, so that those of two lives differ.
-_FIRST_NUMBERS = 1_000_000
-#: A link that has told more names than this tells the next report whole: names
-#: of engines long gone would fill the memory of both sides.
-_MOST_NAMES = 8192
-#: A moment that is told by its age stays as told while it moves by less (ms).
-_SAME_MOMENT_MS = 30
+#: Upper bound of the random first number, which tells incarnations apart.
+_FIRST_NUMBER_BOUND = 1_000_000
+#: Names sent on a link before it starts over with a full report, so that names
+#: of removed engines do not accumulate.
+_MAX_NAMES = 8192
+#: An age is not sent again while the moment it stands for moves by less.
+_AGE_TOLERANCE_MS = 30
 _MS = 1000
 _TOLD = 'told'
 _ANSWERED = 'answered_ms'
@@ -36,106 +32,106 @@
 
 _UNREADABLE = (LookupError, TypeError, ValueError, msgspec.ValidationError)
 
-#: Fields of a report, or of what it tells of a node, by name.
+#: Fields of a report, or of a relayed load, by name.
 Fields = dict[str, Any]
 
 
 class ReportGapError(Exception):
-    """A report differs from one that is not held here."""
+    """A change is based on a report that was not the last one received."""
 
 
 class UnreadableChangeError(ValueError):
-    """A change names what was never told, or is of the wrong form."""
+    """A change refers to an unknown name or is malformed."""
 
 
-class _Ages:
-    """Take ages for the same while they only grow with time."""
+class _AgeTracker:
+    """Track ages that grow with time, so that only jumps are sent."""
 
     def __init__(self) -> None:
-        self._told: dict[str, tuple[int, float]] = {}
+        self._sent: dict[str, tuple[int, float]] = {}
 
-    def settle(self, fields: Fields, now: float) -> None:
-        """Put the ages as they were told, where peers can work them out."""
-        fresh = {name: fields[name] for name in (_ANSWERED, _FAILED)}
-        known = {name: self.grown(name, now) for name in fresh}
+    def replace(self, fields: Fields, now: float) -> None:
+        """Replace ages by those last sent where the peer can derive them."""
+        current = {name: fields[name] for name in (_ANSWERED, _FAILED)}
+        derived = {name: self.current(name, now) for name in current}
         same = (
-            _near(fresh[_FAILED], known[_FAILED])
-            and (fresh[_ANSWERED] < 0) == (known[_ANSWERED] < 0)
-            and _is_well_again(fresh) == _is_well_again(known)
+            _is_close(current[_FAILED], derived[_FAILED])
+            and (current[_ANSWERED] < 0) == (derived[_ANSWERED] < 0)
+            and _has_recovered(current) == _has_recovered(derived)
         )
-        for name, age in fresh.items():
-            told = self._told.get(name, (-1, now))
+        for name, age in current.items():
+            sent = self._sent.get(name, (-1, now))
             if not same:
-                # An age that stays the same is no change and would be left out.
-                told = (age + int(age >= 0 and age == told[0]), now)
-            self._told[name] = told
-            fields[name] = told[0]
+                # An unchanged age would be left out of the change.
+                sent = (age + int(age >= 0 and age == sent[0]), now)
+            self._sent[name] = sent
+            fields[name] = sent[0]
 
-    def take(self, fields: Mapping[str, Any], now: float) -> None:
-        """Keep the ages that are told now."""
+    def store(self, fields: Mapping[str, Any], now: float) -> None:
+        """Store the ages contained in a received change."""
         for name in (_ANSWERED, _FAILED):
             if name in fields:
-                self._told[name] = (fields[name], now)
+                self._sent[name] = (fields[name], now)
 
-    def grown(self, name: str, now: float) -> int:
-        """Give an age as it is by now; -1 for what never was."""
-        age, at = self._told.get(name, (-1, now))
+    def current(self, name: str, now: float) -> int:
+        """Return an age as of now in milliseconds; -1 if it never was."""
+        age, at = self._sent.get(name, (-1, now))
         return age if age < 0 else age + round((now - at) * _MS)
 
 
-def _near(fresh: int, known: int) -> bool:
-    if fresh < 0 or known < 0:
-        return fresh == known
-    return abs(fresh - known) <= _SAME_MOMENT_MS
+def _is_close(current: int, derived: int) -> bool:
+    if current < 0 or derived < 0:
+        return current == derived
+    return abs(current - derived) <= _AGE_TOLERANCE_MS
 
 
-def _is_well_again(ages: Mapping[str, int]) -> bool:
-    """Tell whether the service has answered since it failed."""
+def _has_recovered(ages: Mapping[str, int]) -> bool:
+    """Return whether the service has answered since its last failure."""
     return 0 <= ages[_ANSWERED] < ages[_FAILED]
 
 
 class ChangeWriter:
-    """Write each report as what differs from the one before."""
+    """Encode each report as its differences from the previous one."""
 
     def __init__(self) -> None:
-        self._number = random.randrange(_FIRST_NUMBERS)
-        self._must_resend = False
+        self._number = random.randrange(_FIRST_NUMBER_BOUND)
+        self._needs_full = False
         self._restart()
 
     @property
     def must_resend_whole(self) -> bool:
-        """Tell whether the peer has said that it lacks the last report."""
-        return self._must_resend
+        """Whether the peer has acknowledged another report than the last."""
+        return self._needs_full
 
-    def confirm(self, held: int) -> bool:
-        """Take which report the peer holds; tell whether it is the last."""
-        self._confirmed = held == self._number and bool(self._names)
-        self._must_resend = not self._confirmed
+    def confirm(self, number: int) -> bool:
+        """Take the peer's acknowledgement; return whether it is the last."""
+        self._confirmed = number == self._number and bool(self._names)
+        self._needs_full = not self._confirmed
         return self._confirmed
 
     def write(self, report: NodeReport, holds: int, now: float) -> ReportChange:
-        """Write a report for a peer of which we hold one."""
-        if not self._confirmed or len(self._names) > _MOST_NAMES:
+        """Encode a report, with the number of the peer's report held here."""
+        if not self._confirmed or len(self._names) > _MAX_NAMES:
             self._restart()
         base = self._number if self._confirmed else 0
         self._number += 1
-        self._must_resend = False
-        # Not known to have arrived until the peer says so.
+        self._needs_full = False
+        # Unconfirmed until the peer acknowledges it.
         self._confirmed = False
-        known_names = len(self._names)
+        names_before = len(self._names)
         fields = msgspec.to_builtins(report)
-        told = [self._told_of(one) for one in fields.pop(_TOLD)]
-        self._ages.settle(fields, now)
-        changes = list(self._differences(self._fields, fields))
+        relayed = [self._relayed_changes(load) for load in fields.pop(_TOLD)]
+        self._ages.replace(fields, now)
+        changes = list(self._diff_fields(self._fields, fields))
         self._fields = fields
         return ReportChange(
             node=report.node,
             number=self._number,
             base=base or UNSET,
             holds=holds or UNSET,
-            names=list(self._names)[known_names:] or UNSET,
+            names=list(self._names)[names_before:] or UNSET,
             changes=changes or UNSET,
-            told=told or UNSET,
+            told=relayed or UNSET,
         )
 
     def _restart(self) -> None:
@@ -143,62 +139,64 @@
         self._names: dict[str, int] = {}
         self._fields: Fields = {}
         self._nodes: dict[str, Fields] = {}
-        self._ages = _Ages()
+        self._ages = _AgeTracker()
 
-    def _told_of(self, fields: Fields) -> list[Any]:
+    def _relayed_changes(self, fields: Fields) -> list[Any]:
         node = fields.pop('node')
         age = fields.pop('age_ms')
-        changes = self._differences(self._nodes.get(node, {}), fields)
+        changes = self._diff_fields(self._nodes.get(node, {}), fields)
         self._nodes[node] = fields
-        return [self._numbered(node), age, *changes]
-
-    def _differences(self, known: Fields, fresh: Fields) -> Iterator[Any]:
-        for name, found in fresh.items():
-            before = known.get(name)
-            if found != before or name not in known:
-                yield self._numbered(name)
-                yield self._difference(before, found)
-
-    def _difference(self, before: Any, found: Any) -> Any:
-        if isinstance(found, dict):
-            return list(self._entries(before or {}, found))
-        if _is_number(found):
-            return found - (before or 0)
-        return found
-
-    def _entries(self, before: Fields, found: Fields) -> Iterator[Any]:
-        for name, content in found.items():
-            if before.get(name) != content:
-                yield self._numbered(name)
+        return [self._index_of(node), age, *changes]
+
+    def _diff_fields(self, previous: Fields, latest: Fields) -> Iterator[Any]:
+        for name, content in latest.items():
+            before = previous.get(name)
+            if content != before or name not in previous:
+                yield self._index_of(name)
+                yield self._diff_value(before, content)
+
+    def _diff_value(self, before: Any, content: Any) -> Any:
+        if isinstance(content, dict):
+            return list(self._diff_mapping(before or {}, content))
+        if _is_number(content):
+            return content - (before or 0)
+        return content
+
+    def _diff_mapping(self, previous: Fields, latest: Fields) -> Iterator[Any]:
+        for name, content in latest.items():
+            if previous.get(name) != content:
+                yield self._index_of(name)
                 yield content
-        for name in before.keys() - found.keys():
-            yield self._numbered(name)
+        for name in previous.keys() - latest.keys():
+            yield self._index_of(name)
             yield None
 
-    def _numbered(self, name: str) -> int:
+    def _index_of(self, name: str) -> int:
         return self._names.setdefault(name, len(self._names))
 
 
 class ChangeReader:
-    """Read whole reports from what differs."""
+    """Decode changes into full reports."""
 
     def __init__(self) -> None:
         self._restart()
 
     @property
     def holds(self) -> int:
-        """Give the number of the report that is held; 0 for none."""
+        """Number of the last report received; 0 if none is held."""
         return self._number
 
     def read(self, change: ReportChange, now: float) -> NodeReport:
-        """Read a report.
+        """Decode a report.
 
-        Raises ReportGapError or UnreadableChangeError; then none is held.
+        Raises ReportGapError or UnreadableChangeError; then no report is held.
         """
         if change.base and change.base != self._number:
             held = self._number
             self._restart()
-            raise ReportGapError(f'it differs from {change.base}, held: {held}')
+            raise ReportGapError(
+                f'change is based on report {change.base}, last received {held}'
+            )
         if not change.base:
             self._restart()
         try:
@@ -211,12 +209,14 @@
 
     def _read(self, change: ReportChange, now: float) -> NodeReport:
         self._names.extend(change.names)
-        changed = self._apply(self._fields, change.changes, _REPORT_KINDS)
-        self._ages.take(changed, now)
+        changed = self._apply_changes(
+            self._fields, change.changes, _REPORT_TYPES
+        )
+        self._ages.store(changed, now)
         fields = {'node': change.node, **self._fields}
         for name in (_ANSWERED, _FAILED):
-            fields[name] = self._ages.grown(name, now)
-        fields[_TOLD] = [self._read_told(one) for one in change.told]
+            fields[name] = self._ages.current(name, now)
+        fields[_TOLD] = [self._read_relayed(load) for load in change.told]
         return msgspec.convert(fields, NodeReport)
 
     def _restart(self) -> None:
@@ -224,50 +224,52 @@
         self._names: list[str] = []
         self._fields: Fields = {}
         self._nodes: dict[str, Fields] = {}
-        self._ages = _Ages()
+        self._ages = _AgeTracker()
 
-    def _read_told(self, told: Sequence[Any]) -> Fields:
-        number, age, *changes = told
-        node = self._name(number)
+    def _read_relayed(self, relayed: Sequence[Any]) -> Fields:
+        index, age, *changes = relayed
+        node = self._name_at(index)
         known = self._nodes.setdefault(node, {})
-        self._apply(known, changes, _TOLD_KINDS)
+        self._apply_changes(known, changes, _RELAYED_TYPES)
         return {**known, 'node': node, 'age_ms': age}
 
-    def _apply(
-        self, known: Fields, changes: Sequence[Any], kinds: Mapping[str, type]
+    def _apply_changes(
+        self, known: Fields, changes: Sequence[Any], types: Mapping[str, type]
     ) -> Fields:
-        """Change the fields that this version knows and give these."""
+        """Update the fields known to this version and return these."""
         changed: Fields = {}
-        for number, difference in _pairs(changes):
-            name = self._name(number)
-            kind = kinds.get(name)
-            if kind is dict:
-                changed[name] = self._merged(known.get(name, {}), difference)
-            elif kind is int:
+        for index, difference in _pairs(changes):
+            name = self._name_at(index)
+            expected = types.get(name)
+            if expected is dict:
+                changed[name] = self._merge_mapping(
+                    known.get(name, {}), difference
+                )
+            elif expected is int:
                 changed[name] = known.get(name, 0) + difference
-            elif kind is not None:
+            elif expected is not None:
                 changed[name] = difference
         known.update(changed)
         return changed
 
-    def _merged(self, known: Fields, entries: Sequence[Any]) -> Fields:
-        # Whoever took the mapping before may keep it.
+    def _merge_mapping(self, known: Fields, entries: Sequence[Any]) -> Fields:
+        # Copied, since earlier reports may still refer to the mapping.
         merged = dict(known)
-        for number, content in _pairs(entries):
+        for index, content in _pairs(entries):
             if content is None:
-                merged.pop(self._name(number), None)
+                merged.pop(self._name_at(index), None)
             else:
-                merged[self._name(number)] = content
+                merged[self._name_at(index)] = content
         return merged
 
-    def _name(self, number: int) -> str:
-        if number < 0:
-            raise LookupError(f'no name has number {number}')
-        return self._names[number]
+    def _name_at(self, index: int) -> str:
+        if index < 0:
+            raise LookupError(f'invalid name index {index}')
+        return self._names[index]
 
 
 class ReportLink(Struct):
-    """Keep both directions of the reports exchanged with one peer."""
+    """Codecs for both directions of the reports exchanged with a peer."""
 
     writer: ChangeWriter = field(default_factory=ChangeWriter)
     reader: ChangeReader = field(default_factory=ChangeReader)
@@ -277,15 +279,15 @@
     return zip(flat[::2], flat[1::2], strict=True)
 
 
-def _is_number(found: Any) -> bool:
-    return isinstance(found, int) and not isinstance(found, bool)
+def _is_number(content: Any) -> bool:
+    return isinstance(content, int) and not isinstance(content, bool)
 
 
-def _kinds(example: Struct) -> dict[str, type]:
-    """Give the kind of each field, by the values of an example."""
+def _field_types(example: Struct) -> dict[str, type]:
+    """Return the type of each field, taken from an example."""
     plain = msgspec.to_builtins(example)
     return {name: type(content) for name, content in plain.items()}
 
 
-_REPORT_KINDS = _kinds(NodeReport(node='', sound=True, leaving=False))
-_TOLD_KINDS = _kinds(ToldLoad(node='', age_ms=0))
+_REPORT_TYPES = _field_types(NodeReport(node='', sound=True, leaving=False))
+_RELAYED_TYPES = _field_types(ToldLoad(node='', age_ms=0))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/links.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/links.py
@@ -1,13 +1,12 @@
-"""Which processes of ours exchange reports, and how often.
+"""Choose which processes exchange reports, and how often.
 
-In a large fleet a process exchanges with a bounded number of others, and loads
-pass from one to the next. Each process works the links out by itself from the
-list of all.
+In a large fleet each process exchanges reports with a bounded number of others,
+and reports are relayed between them. All processes compute the same links from
+the list of all processes.
 
-Halls are linked many times over, once for each two places side by side. News of
-a process goes to another hall over the few of these links that begin nearest to
-it: over all of them, bytes between halls would grow with the square of the
-fleet.
+Many pairs of processes link any two halls. Reports about a process are relayed
+to another hall only over the few of these links that begin nearest to it, so
+that traffic between halls does not grow with the square of the fleet.
 """
 
 import enum
@@ -19,34 +18,33 @@
 
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
 
-#: Up to so many processes each exchanges with each other; then a pause of 0.1 s
-#: between exchanges is within the bound below.
-_MESH_NODES = 17
-#: Exchanges a second that a process has at most over one kind of links.
+#: Largest fleet in which every process is linked with every other.
+_FULL_MESH_NODES = 17
+#: Limit on the exchanges of a process over links of one kind.
 _EXCHANGES_PER_SECOND = 160
-#: Seconds between two exchanges of a pair while processes are few.
-_MESH_SECONDS = 0.04
-#: Seconds between two exchanges over a close link of a large fleet.
+#: Interval between exchanges of a pair in a small fleet.
+_FULL_MESH_SECONDS = 0.04
+#: Interval between exchanges over a close link in a large fleet.
 _CLOSE_SECONDS = 0.08
-#: Close links a process has within its hall, each to both sides of its ring.
-_RING_STEPS = 3
-#: Links over which news of a process goes to each other hall. Fewer would do
-#: where none is lost, but news that has to come to them first is older.
-_CARRIERS = 20
+#: Different distances in the ring of a hall that are linked.
+_RING_DISTANCES = 3
+#: Links that relay reports about a process to each other hall. Fewer lose
+#: reports when links fail and make them older.
+_RELAYS_PER_HALL = 20
 
 
 class Link(enum.Enum):
-    """Say how two processes exchange reports."""
+    """How two processes exchange reports."""
 
-    #: Often; loads of others are told.
+    #: Frequent exchanges, with relayed reports about other processes.
     CLOSE = 'close'
-    #: For whether the other lives and which shards it holds.
+    #: Exchanges for liveness and shard ownership only.
     WATCH = 'watch'
     NONE = 'none'
 
 
-class _Place(Struct, frozen=True):
-    """Say where a process stands: its hall, and its place in the hall."""
+class _Position(Struct, frozen=True):
+    """Position of a process: its hall and its index in the hall."""
 
     hall: int
     index: int
@@ -54,145 +52,145 @@
 
 
 class Links(Struct):
-    """Lay the links of the fleet.
+    """Links between the processes of the fleet.
 
-    The processes of a hall stand in a ring and are linked with those some steps
-    away. A process is linked with those at the same place in two other halls.
-    Owners are linked with all.
+    Each hall is a ring, whose members are linked at a few fixed distances. A
+    process is also linked with those of the same index in two other halls.
+    Owners are linked with all processes.
     """
 
-    _places: dict[NodeName, _Place] = field(default_factory=dict)
-    _apart: Sequence[frozenset[int]] = ()
+    _positions: dict[NodeName, _Position] = field(default_factory=dict)
+    _distances: Sequence[frozenset[int]] = ()
     _sizes: Sequence[int] = ()
-    #: Links of a ring from one place to each other, by its size.
-    _hops: dict[int, Sequence[int]] = field(default_factory=dict)
-    #: Which places of its hall carry the news of a place to another hall.
-    _carriers: dict[tuple[int, int, int], Collection[int]] = field(
+    #: Hops from one index to each other in a ring, by size of the ring.
+    _hops_by_size: dict[int, Sequence[int]] = field(default_factory=dict)
+    #: Indices in a hall that relay reports about a process to another hall.
+    _relays: dict[tuple[int, int, int], Collection[int]] = field(
         default_factory=dict
     )
 
     def lay(self, records: Iterable[PeerRecord]) -> None:
-        """Lay the links between these processes and forget all others."""
+        """Replace all links by those between these processes."""
         halls: dict[DataHall, list[PeerRecord]] = {}
         for record in records:
             halls.setdefault(record.hall, []).append(record)
-        self._places = {}
+        self._positions = {}
         for number, hall in enumerate(sorted(halls)):
             ring = sorted(halls[hall], key=_ring_order)
             for index, member in enumerate(ring):
                 owner = member.role is NodeRole.OWNER
-                self._places[member.node] = _Place(number, index, owner)
+                self._positions[member.node] = _Position(number, index, owner)
         self._sizes = [len(halls[hall]) for hall in sorted(halls)]
-        self._apart = [_distances(size) for size in self._sizes]
-        self._hops.clear()
-        self._carriers.clear()
+        self._distances = [_ring_distances(size) for size in self._sizes]
+        self._hops_by_size.clear()
+        self._relays.clear()
 
     def between(self, one: NodeName, other: NodeName) -> Link:
-        """Tell how two processes exchange reports."""
-        here = self._places.get(one)
-        there = self._places.get(other)
-        if here is None or there is None or here == there:
+        """Return how two processes exchange reports."""
+        first = self._positions.get(one)
+        second = self._positions.get(other)
+        if first is None or second is None or first == second:
             return Link.NONE
-        if self._close(here, there):
+        if self._is_close(first, second):
             return Link.CLOSE
-        if here.owner or there.owner:
+        if first.owner or second.owner:
             return Link.WATCH
         return Link.NONE
 
     def carries(self, one: NodeName, other: NodeName, node: NodeName) -> bool:
-        """Tell whether one process tells another what it hears of a node.
+        """Return whether one process relays reports about a node to another.
 
-        Within a hall all is told on. Another hall is told by the hall of the
-        node, or by whoever is linked with both if these two are not.
+        Within a hall all reports are relayed. Another hall gets them from the
+        node's hall, or from halls linked with both if these are not linked.
         """
-        here = self._places.get(one)
-        there = self._places.get(other)
-        place = self._places.get(node)
-        if here is None or there is None or place is None:
+        sender = self._positions.get(one)
+        receiver = self._positions.get(other)
+        subject = self._positions.get(node)
+        if sender is None or receiver is None or subject is None:
             return False
-        if here.hall == there.hall:
+        if sender.hall == receiver.hall:
             return True
-        carriers = self._carriers_of(place, there.hall)
-        if place.hall == here.hall:
-            return here.index in carriers
-        return not carriers and place.hall != there.hall
+        relays = self._relays_for(subject, receiver.hall)
+        if subject.hall == sender.hall:
+            return sender.index in relays
+        return not relays and subject.hall != receiver.hall
 
     def pause(self, link: Link) -> float:
-        """Give the seconds between two exchanges over a link."""
-        if link is Link.CLOSE and not self._mesh:
+        """Return the seconds between two exchanges over a link."""
+        if link is Link.CLOSE and not self._is_full_mesh:
             return _CLOSE_SECONDS
-        shared = (len(self._places) - 1) / _EXCHANGES_PER_SECOND
-        return max(_MESH_SECONDS, shared)
+        interval = (len(self._positions) - 1) / _EXCHANGES_PER_SECOND
+        return max(_FULL_MESH_SECONDS, interval)
 
     @property
-    def _mesh(self) -> bool:
-        return len(self._places) <= _MESH_NODES
+    def _is_full_mesh(self) -> bool:
+        return len(self._positions) <= _FULL_MESH_NODES
 
-    def _carriers_of(self, place: _Place, hall: int) -> Collection[int]:
-        """Choose those with a link to a hall that are nearest to a place."""
-        key = (place.hall, place.index, hall)
-        known = self._carriers.get(key)
+    def _relays_for(self, subject: _Position, hall: int) -> Collection[int]:
+        """Return the linked indices nearest to a process, for a hall."""
+        key = (subject.hall, subject.index, hall)
+        known = self._relays.get(key)
         if known is None:
-            size = self._sizes[place.hall]
-            hops = self._hops_of(place.hall)
+            size = self._sizes[subject.hall]
+            hops = self._hops_in(subject.hall)
             linked = [
                 index
                 for index in range(min(size, self._sizes[hall]))
-                if self._reaches(index, place.hall, hall)
+                if self._are_linked(index, subject.hall, hall)
             ]
-            linked.sort(key=lambda index: hops[(index - place.index) % size])
-            known = frozenset(linked[:_CARRIERS])
-            self._carriers[key] = known
+            linked.sort(key=lambda index: hops[(index - subject.index) % size])
+            known = frozenset(linked[:_RELAYS_PER_HALL])
+            self._relays[key] = known
         return known
 
-    def _hops_of(self, hall: int) -> Sequence[int]:
+    def _hops_in(self, hall: int) -> Sequence[int]:
         size = self._sizes[hall]
-        if size not in self._hops:
-            self._hops[size] = _ring_hops(size, self._apart[hall])
-        return self._hops[size]
-
-    def _reaches(self, index: int, hall: int, other: int) -> bool:
-        """Tell whether places side by side in two halls are linked."""
-        halls = len(self._apart)
-        apart = abs(hall - other)
-        reach = 1 + index % (halls // 2)
-        return min(apart, halls - apart) == reach
-
-    def _close(self, here: _Place, there: _Place) -> bool:
-        if self._mesh or (here.owner and there.owner):
+        if size not in self._hops_by_size:
+            self._hops_by_size[size] = _ring_hops(size, self._distances[hall])
+        return self._hops_by_size[size]
+
+    def _are_linked(self, index: int, hall: int, other: int) -> bool:
+        """Return whether processes of this index in two halls are linked."""
+        halls = len(self._distances)
+        distance = abs(hall - other)
+        linked_distance = 1 + index % (halls // 2)
+        return min(distance, halls - distance) == linked_distance
+
+    def _is_close(self, first: _Position, second: _Position) -> bool:
+        if self._is_full_mesh or (first.owner and second.owner):
             return True
-        if here.hall == there.hall:
-            apart = abs(here.index - there.index)
-            return apart in self._apart[here.hall]
-        if here.index != there.index:
+        if first.hall == second.hall:
+            distance = abs(first.index - second.index)
+            return distance in self._distances[first.hall]
+        if first.index != second.index:
             return False
-        # Places side by side reach for different halls.
-        return self._reaches(here.index, here.hall, there.hall)
+        # Which halls are linked depends on the index.
+        return self._are_linked(first.index, first.hall, second.hall)
 
 
 def _ring_order(record: PeerRecord) -> bytes:
-    """Order a hall by no matter of its names, for all alike."""
+    """Sort key by hash, the same in all processes and unrelated to names."""
     return blake2b(record.node.encode(), digest_size=8).digest()
 
 
-def _distances(size: int) -> frozenset[int]:
-    """Give how far apart in a ring those are that are linked."""
+def _ring_distances(size: int) -> frozenset[int]:
+    """Return the distances in a ring at which members are linked."""
     steps = {
-        max(1, round(size ** (step / _RING_STEPS)))
-        for step in range(_RING_STEPS)
+        max(1, round(size ** (step / _RING_DISTANCES)))
+        for step in range(_RING_DISTANCES)
     }
     return frozenset(steps | {size - step for step in steps})
 
 
-def _ring_hops(size: int, apart: Collection[int]) -> Sequence[int]:
-    """Count the links from the first place of a ring to each."""
+def _ring_hops(size: int, distances: Collection[int]) -> Sequence[int]:
+    """Count the hops from the first member of a ring to each."""
     hops = {0: 0}
     queue = deque([0])
     while queue:
         index = queue.popleft()
-        for step in apart:
-            near = (index + step) % size
-            if near not in hops:
-                hops[near] = hops[index] + 1
-                queue.append(near)
+        for distance in distances:
+            neighbor = (index + distance) % size
+            if neighbor not in hops:
+                hops[neighbor] = hops[index] + 1
+                queue.append(neighbor)
     return [hops[index] for index in range(size)]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
@@ -1,4 +1,4 @@
-"""How many requests run on each engine, here and at the peers."""
+"""Counts of the requests on each engine, of this process and its peers."""
 
 from collections import Counter
 from collections.abc import Iterator, Mapping
@@ -10,65 +10,62 @@
 from bendlead_gateway._teams.told import TeamCounts
 from bendlead_gateway.types import EngineId, NodeName
 
-#: What a peer said counts for this long (s); then it is taken as stopped.
-_REPORT_SECONDS = 1.5
-#: Items that a peer reported count for this long (s): a machine that lost power
-#: closes no connection, and its items, of 4 to 5 s each, hold their places on.
-_BATCH_SECONDS = 4.0
-#: Items of a peer that has missed reports for this long (s), and for this many
-#: times the pause between its reports, are stopped by nobody: its machine is
-#: gone, or it does not learn of our requests. Reports come every 40 ms while
-#: peers are few.
-_QUIET_SECONDS = 0.4
-_QUIET_PAUSES = 4
-#: Part of a pause that still counts at the next report: what others tell on
-#: comes at any moment, and makes short pauses of long ones.
-_PAUSE_KEPT = 0.8
-#: Weight of the newest counts in the smoothed delay, which holds over some
-#: hundred of them.
-_NEWEST = 0.01
-#: A pause between the counts of a peer is longer than that between exchanges
-#: (s) only where nothing changed.
-_LONGEST_PAUSE = 0.1
-#: Who is quiet is found out this often (s): a choice looks at every engine.
-_LOOK_SECONDS = 0.05
+#: Reported requests count for this long; then the peer counts as stopped.
+_EXPIRY_SECONDS = 1.5
+#: Reported items count longer: if a machine loses power, no connection is
+#: closed, and its items run on and keep their slots.
+_BATCH_EXPIRY_SECONDS = 4.0
+#: Items of a peer whose reports are overdue by this time, and by this many
+#: intervals, can't be preempted: its machine is down, or it does not receive
+#: reports about online requests.
+_OVERDUE_SECONDS = 0.4
+_OVERDUE_INTERVALS = 4
+#: Share of the previous interval that remains after a shorter one: relayed
+#: reports come between direct ones.
+_INTERVAL_DECAY = 0.8
+#: Smoothing factor of the update delay.
+_DELAY_SMOOTHING = 0.01
+#: Intervals are capped to this: longer ones mean that nothing changed.
+_MAX_INTERVAL_SECONDS = 0.1
+#: Interval between updates of the list of overdue peers.
+_OVERDUE_CHECK_SECONDS = 0.05
 
 
 _NO_TEAMS = TeamCounts()
 
 
 class Report(Struct):
-    """Keep what a peer said of its requests."""
+    """Requests of a peer as last reported."""
 
     online: Mapping[EngineId, int]
     batch: Mapping[EngineId, int]
     heard: float
-    #: The peer's number for these counts; 0 if it tells none.
+    #: Version of the counts, set by the peer; 0 if it sends none.
     version: int = 0
-    #: This process's number for them, in the order in which they came.
+    #: Sequence number of the counts in this process, in order of arrival.
     arrival: int = 0
-    #: Seconds between the latest reports; told ones come between heard ones.
+    #: Smoothed seconds between reports, direct and relayed.
     pause: float = 0
-    #: What it let through of each team.
+    #: Requests that the peer admitted, by team.
     teams: TeamCounts = _NO_TEAMS
 
     @property
     def quiet(self) -> bool:
-        """Tell whether the peer has missed several reports."""
-        return self.age > max(_QUIET_SECONDS, self.pause * _QUIET_PAUSES)
+        """Whether several reports are overdue."""
+        return self.age > max(_OVERDUE_SECONDS, self.pause * _OVERDUE_INTERVALS)
 
     @property
     def age(self) -> float:
-        """Give the seconds since the peer said so."""
+        """Seconds since the peer made the report."""
         return clock.uptime() - self.heard
 
     def next_pause(self, heard: float) -> float:
-        """Give the pause between reports if the next is heard then."""
-        return max(heard - self.heard, self.pause * _PAUSE_KEPT)
+        """Return the interval if the next report is of the given time."""
+        return max(heard - self.heard, self.pause * _INTERVAL_DECAY)
 
 
 class OwnLoad(Struct):
-    """Count the requests of this process on each engine."""
+    """Requests of this process on each engine."""
 
     online: Counter[EngineId] = field(default_factory=Counter)
     batch: Counter[EngineId] = field(default_factory=Counter)
@@ -76,28 +73,28 @@
 
 
 class LoadTable:
-    """Add up the requests on each engine over all processes."""
+    """Sums of the requests on each engine over all processes."""
 
     def __init__(self) -> None:
         self.own = OwnLoad()
-        #: In the order of their arrivals.
+        #: Ordered by arrival.
         self._reports: dict[NodeName, Report] = {}
-        self._arrivals = 0
-        #: Smoothed seconds from a change of a peer's counts to its news here.
+        self._last_arrival = 0
+        #: Smoothed seconds until a change of a peer's counts is known here.
         self.delay = 0.0
-        self._online = FreshSums(_REPORT_SECONDS)
-        self._batch = FreshSums(_BATCH_SECONDS)
-        self._quiet: list[Report] = []
-        self._look_again_at = 0.0
+        self._online = FreshSums(_EXPIRY_SECONDS)
+        self._batch = FreshSums(_BATCH_EXPIRY_SECONDS)
+        self._overdue: list[Report] = []
+        self._next_check = 0.0
 
     def start_online(self, engine: EngineId) -> None:
-        """Count a request that starts here now."""
+        """Count a request that starts now in this process."""
         if not self.own.online[engine]:
             self.own.busy_since[engine] = clock.uptime()
         self.own.online[engine] += 1
 
     def own_busy_since(self, engine: EngineId) -> float | None:
-        """Tell since when requests of ours run there without a pause."""
+        """Return since when own requests run there without a gap."""
         if self.own.online[engine]:
             return self.own.busy_since.get(engine)
         return None
@@ -111,13 +108,13 @@
         version: int = 0,
         teams: TeamCounts = _NO_TEAMS,
     ) -> None:
-        """Take what a peer told of its requests some seconds ago."""
+        """Take a peer's counts, which are of some seconds ago (age)."""
         heard = clock.uptime() - age
         known = self.latest(node)
         if known and (known.version, known.heard) >= (version, heard):
             return
-        if known in self._quiet:
-            self._look_again_at = 0
+        if known in self._overdue:
+            self._next_check = 0
         if known:
             self._observe_delay(heard - known.heard, age)
         pause = known.next_pause(heard) if known else 0
@@ -126,15 +123,15 @@
             known.pause = pause
         else:
             self._reports.pop(node, None)
-            self._arrivals += 1
+            self._last_arrival += 1
             self._reports[node] = Report(
-                online, batch, heard, version, self._arrivals, pause, teams
+                online, batch, heard, version, self._last_arrival, pause, teams
             )
         self._online.put(node, online, heard)
         self._batch.put(node, batch, heard)
 
     def since(self, arrival: int) -> Iterator[tuple[NodeName, Report]]:
-        """List what came after an arrival, the earliest first."""
+        """List the reports after a sequence number, oldest first."""
         newer: list[tuple[NodeName, Report]] = []
         for node, report in reversed(self._reports.items()):
             if report.arrival <= arrival:
@@ -143,14 +140,14 @@
         return reversed(newer)
 
     def latest(self, node: NodeName) -> Report | None:
-        """Give what a peer told last, if that still counts."""
+        """Return the last report of a peer unless it has expired."""
         known = self._reports.get(node)
-        if known is None or known.age > _REPORT_SECONDS:
+        if known is None or known.age > _EXPIRY_SECONDS:
             return None
         return known
 
     def age_of(self, node: NodeName) -> float | None:
-        """Give the seconds since a peer told of itself, if it goes on to."""
+        """Return the age of a peer's last report if more are expected."""
         known = self._reports.get(node)
         if known and (known.online or known.batch or known.teams.life):
             return known.age
@@ -161,34 +158,34 @@
         return self.own.online[engine] + self._online.total(engine)
 
     def batch(self, engine: EngineId) -> int:
-        """Count the items of batch jobs on an engine."""
+        """Count the batch items on an engine."""
         return self.own.batch[engine] + self._batch.total(engine)
 
     def item_owners(self) -> dict[NodeName, Report]:
-        """List the peers whose items may hold places."""
+        """List the peers whose items may occupy slots."""
         return {
-            node: one
-            for node, one in self._reports.items()
-            if one.batch and one.age < _BATCH_SECONDS
+            node: report
+            for node, report in self._reports.items()
+            if report.batch and report.age < _BATCH_EXPIRY_SECONDS
         }
 
     def unstoppable(self, engine: EngineId) -> int:
-        """Count the items that step aside for no online request."""
+        """Count the items that can't be preempted for online requests."""
         now = clock.uptime()
-        if now >= self._look_again_at:
-            self._look_again_at = now + _LOOK_SECONDS
+        if now >= self._next_check:
+            self._next_check = now + _OVERDUE_CHECK_SECONDS
             owners = self.item_owners().values()
-            self._quiet = [one for one in owners if one.quiet]
-        return sum(one.batch.get(engine, 0) for one in self._quiet)
+            self._overdue = [report for report in owners if report.quiet]
+        return sum(report.batch.get(engine, 0) for report in self._overdue)
 
     def forget(self, node: NodeName) -> None:
-        """Drop what a peer told whose process has ended."""
+        """Remove the counts of a peer whose process has ended."""
         self._reports.pop(node, None)
         self._online.drop(node)
         self._batch.drop(node)
-        self._look_again_at = 0
+        self._next_check = 0
 
     def _observe_delay(self, pause: float, age: float) -> None:
-        """Take how old news of a peer are; they change between exchanges."""
-        delay = min(pause, _LONGEST_PAUSE) / 2 + age
-        self.delay += (delay - self.delay) * _NEWEST
+        """Update the delay; on average counts change in mid-interval."""
+        delay = min(pause, _MAX_INTERVAL_SECONDS) / 2 + age
+        self.delay += (delay - self.delay) * _DELAY_SMOOTHING
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/news.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/news.py
@@ -1,4 +1,4 @@
-"""Pass on what other processes told of their requests."""
+"""Relay the loads that other processes reported."""
 
 import time
 from collections.abc import Callable, Mapping, Sequence
@@ -15,30 +15,30 @@
 
 _MS = 1000
 
-#: Takes what a node let through, its number for that, and when it said so (s).
+#: Takes a node, its counts of admitted requests by team, their version and the
+#: time of its report.
 OnTeams = Callable[[NodeName, TeamCounts, int, float], None]
 
 
 def ignore_teams(
     node: NodeName, told: TeamCounts, version: int, heard: float
 ) -> None:
-    """Count no teams, as processes do that take no clients."""
-
-
-#: A report that was told on more than once is older than it is worth; one that
-#: is as old as this (s) is not told.
-_OLDEST_TOLD = 1.0
-#: Nodes that one report may ask for, or tell of in answer to that.
-_MOST_NODES = 16
-#: Nodes that one report tells of unasked; the others follow in the next.
-_MOST_NEWS = 128
-#: Counts that stay as they are get a new version after this long (s), since
-#: what is told counts for 1.5 s only.
+    """Ignore counts by team, in processes that admit no clients."""
+
+
+#: Reports of this age are no longer relayed.
+_MAX_RELAYED_AGE_SECONDS = 1.0
+#: Nodes that one report may ask for, and that are answered.
+_MAX_REQUESTED_NODES = 16
+#: Nodes relayed unasked in one report; the others follow in the next.
+_MAX_RELAYED_NODES = 128
+#: Unchanged counts get a new version after this time, before they expire at the
+#: receiver.
 _REFRESH_SECONDS = 0.5
 
 
 def urgent_part(report: NodeReport) -> object:
-    """Give what peers should hear of as soon as it changes."""
+    """Return the part of a report whose changes are sent at once."""
     return (
         report.online,
         report.batch,
@@ -52,8 +52,8 @@
     )
 
 
-class _OwnVersion(Struct):
-    """Keep the version of this process's counts and since when it is so."""
+class _OwnCounts(Struct):
+    """Version of the own counts, and when it was set."""
 
     version: int = 0
     since: float = 0
@@ -63,12 +63,12 @@
 
 
 class LoadNews:
-    """Tell loads on to peers that do not hear of them from where they are.
+    """Relay loads to peers that do not receive them directly.
 
-    A peer over a close link is told all that is new and not linked to it as
-    closely. Any peer may ask for nodes it should hear and does not: without
-    them an owner would start items on engines that are full of the requests
-    of entries it does not hear, and the entries would count on them.
+    Close peers are sent all new reports of nodes that they are not closely
+    linked with. Any peer may ask for nodes whose reports it misses, since an
+    owner without them would start items on engines that are busy with online
+    requests.
     """
 
     def __init__(
@@ -82,77 +82,77 @@
         self._on_teams = on_teams
         self._loads = loads
         self._links = links
-        self._own_version = _OwnVersion()
+        self._own_counts = _OwnCounts()
 
     def sign(self, report: NodeReport) -> None:
-        """Give a report of this process the version of its counts."""
-        last = self._own_version
+        """Set the version of the own counts in a report."""
+        last = self._own_counts
         now = clock.uptime()
         changed = (
             report.online != last.online
             or report.batch != last.batch
             or report.teams != last.teams
         )
-        # Who counts teams has to be heard of, also while nothing runs there.
-        wanted = bool(report.online or report.batch or report.life)
-        if changed or (wanted and now - last.since > _REFRESH_SECONDS):
-            # Versions go on rising after a restart.
+        # A process that counts teams must be known of while it is idle too.
+        needed = bool(report.online or report.batch or report.life)
+        if changed or (needed and now - last.since > _REFRESH_SECONDS):
+            # Based on wall-clock time, so that versions rise across restarts.
             version = max(last.version + 1, round(time.time() * _MS))
-            self._own_version = _OwnVersion(
+            self._own_counts = _OwnCounts(
                 version, now, report.online, report.batch, report.teams
             )
-        report.version = self._own_version.version
+        report.version = self._own_counts.version
 
     def tell(self, peer: Peer) -> list[ToldLoad]:
-        """Tell what a peer asked for and what is new to it."""
+        """Return the reports that a peer asked for and those new to it."""
         told: list[ToldLoad] = []
-        for name in peer.missed[:_MOST_NODES]:
+        for name in peer.missed[:_MAX_REQUESTED_NODES]:
             known = self._loads.latest(NodeName(name))
-            if known is not None and known.age < _OLDEST_TOLD:
-                told.append(_told(NodeName(name), known))
+            if known is not None and known.age < _MAX_RELAYED_AGE_SECONDS:
+                told.append(_relayed(NodeName(name), known))
         if peer.link is Link.CLOSE:
-            told.extend(self._news(peer))
+            told.extend(self._new_reports(peer))
         return told
 
     def any_for(self, peer: Peer) -> bool:
-        """Tell whether there is anything new to tell a peer of others."""
+        """Return whether there are new reports to relay to a peer."""
         arrived = self._loads.since(peer.told_until)
         return any(self._wants(peer, node, known) for node, known in arrived)
 
     def take(self, peer: Peer, told: Sequence[ToldLoad]) -> None:
-        """Take what a peer tells of others; what is newer stays."""
+        """Take relayed reports; older ones than those known are ignored."""
         now = clock.uptime()
-        for one in told:
-            node = NodeName(one.node)
+        for load in told:
+            node = NodeName(load.node)
             if node == self._own:
                 continue
-            peer.knows[node] = one.version
-            teams = counts_of_teams(one)
-            age = one.age_ms / _MS
+            peer.knows[node] = load.version
+            teams = counts_of_teams(load)
+            age = load.age_ms / _MS
             self._loads.report(
                 node,
-                {EngineId(name): count for name, count in one.online.items()},
-                {EngineId(name): count for name, count in one.batch.items()},
+                {EngineId(name): count for name, count in load.online.items()},
+                {EngineId(name): count for name, count in load.batch.items()},
                 age,
-                one.version,
+                load.version,
                 teams,
             )
-            self._on_teams(node, teams, one.version, now - age)
+            self._on_teams(node, teams, load.version, now - age)
 
-    def _news(self, peer: Peer) -> list[ToldLoad]:
+    def _new_reports(self, peer: Peer) -> list[ToldLoad]:
         told: list[ToldLoad] = []
         for node, known in self._loads.since(peer.told_until):
-            if len(told) == _MOST_NEWS:
+            if len(told) == _MAX_RELAYED_NODES:
                 break
             peer.told_until = known.arrival
             if self._wants(peer, node, known):
                 peer.knows[node] = known.version
-                told.append(_told(node, known))
+                told.append(_relayed(node, known))
         return told
 
     def _wants(self, peer: Peer, node: NodeName, known: Report) -> bool:
         receiver = peer.record.node
-        if node == receiver or known.age > _OLDEST_TOLD:
+        if node == receiver or known.age > _MAX_RELAYED_AGE_SECONDS:
             return False
         if peer.knows.get(node, -1) >= known.version:
             return False
@@ -161,7 +161,7 @@
         return self._links.between(receiver, node) is not Link.CLOSE
 
 
-def _told(node: NodeName, known: Report) -> ToldLoad:
+def _relayed(node: NodeName, known: Report) -> ToldLoad:
     return ToldLoad(
         node=node,
         age_ms=round(known.age * _MS),
@@ -173,9 +173,9 @@
     )
 
 
-def counts_of_teams(said: NodeReport | ToldLoad) -> TeamCounts:
-    """Read what a node let through of each team."""
+def counts_of_teams(report: NodeReport | ToldLoad) -> TeamCounts:
+    """Return a node's counts of admitted requests by team."""
     return TeamCounts(
-        said.life,
-        {TeamName(name): count for name, count in said.teams.items()},
+        report.life,
+        {TeamName(name): count for name, count in report.teams.items()},
     )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_news.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_news.py
@@ -1,10 +1,8 @@
-"""Tell peers how fast engines were found, and hear it from them.
+"""Exchange measured engine speeds with peers.
 
-What a process finds it tells its peers for a moment, and nobody tells it on:
-each has peers enough, while news that pass through all cost each link the
-findings of the whole fleet. A process says nothing where enough peers have
-found the same. While nothing changes nothing is told, but for a renewal now
-and then.
+A new finding is sent to direct peers for a short time and is not relayed. A
+process does not send a finding that enough peers have already reported.
+Unchanged findings are only renewed now and then.
 """
 
 from collections import Counter
@@ -25,26 +23,26 @@
 from bendlead_gateway.types import Engine, EngineId, NodeName
 
 _US = 1_000_000
-#: What is new is told for this long (s), in which each peer is met.
-_TOLD_SECONDS = 0.25
-#: Findings that one report tells; the others follow.
-_MOST_TOLD = 32
-#: A finding is told when it comes from this many streams, when it has changed
-#: by more than this share, and anew after this long (s).
-_TELLING_STREAMS = frozenset((1, 3, RELIABLE_STREAMS))
-_CHANGED_SHARE = 0.15
+#: A finding is sent for this long, in which each peer gets a report.
+_SEND_SECONDS = 0.25
+#: Findings in one report; the others follow in the next.
+_MAX_FINDINGS_PER_REPORT = 32
+#: A finding is sent when it comes from this many streams, when it differs from
+#: the last one sent by more than this share, and again after this time.
+_SEND_AT_STREAMS = frozenset((1, 3, ENOUGH_STREAMS))
+_CHANGE_RATIO = 0.15
 _RENEW_SECONDS = 20.0
-#: Others who have found the same, and then nobody else needs to tell it.
-_ENOUGH_WITNESSES = 2
-#: A peer that was not met for this long (s) may have started again.
-_UNMET_SECONDS = 2.0
-#: What is odd is noted no more often than this (s).
-_NOTE_SECONDS = 10.0
-_MOST_STREAMS = 1_000_000
+#: A finding is not sent once this many peers have reported the same.
+_MAX_CONFIRMATIONS = 2
+#: A peer without a report for this long may have restarted.
+_RESTART_SUSPECTED_SECONDS = 2.0
+#: Least interval between log entries about implausible findings.
+_LOG_SECONDS = 10.0
+_MAX_STREAMS = 1_000_000
 
 
-class _News(Struct, frozen=True):
-    """Keep a finding that is to be told for a moment."""
+class _PendingFinding(Struct, frozen=True):
+    """A finding that is being sent, and until when."""
 
     engine: Engine
     finding: SpeedEstimate
@@ -58,51 +56,63 @@
         self._engines = engines
         self._speeds = pace.speeds
         self._log = log
-        self._news: dict[EngineId, _News] = {}
-        self._met: dict[str, float] = {}
-        self._noted = 0.0
+        self._pending: dict[EngineId, _PendingFinding] = {}
+        self._last_report: dict[str, float] = {}
+        self._logged_at = 0.0
         self._uneven: Collection[str] = ()
-        #: Findings by where they came from.
+        #: Findings by source.
         self.counts: Counter[str] = Counter()
-        pace.on_finding = self._find
+        pace.on_finding = self._on_own_finding
 
     def tell(self) -> list[ToldPace]:
-        """Give what is new, for one report."""
+        """Return the findings for one report."""
         now = clock.uptime()
-        self._note_uneven()
-        over = [name for name, one in self._news.items() if one.until < now]
-        for name in over:
-            self._news.pop(name)
-        told = list(self._news.values())[:_MOST_TOLD]
-        return [_told(one) for one in told]
+        self._log_uneven()
+        expired = [
+            name
+            for name, finding in self._pending.items()
+            if finding.until < now
+        ]
+        for name in expired:
+            self._pending.pop(name)
+        pending = list(self._pending.values())[:_MAX_FINDINGS_PER_REPORT]
+        return [_encode(finding) for finding in pending]
 
     def hear(self, report: NodeReport) -> None:
-        """Take what a peer tells of engines."""
+        """Take the findings in a peer's report."""
         now = clock.uptime()
-        if now - self._met.get(report.node, 0) > _UNMET_SECONDS:
-            self._tell_all()
-        self._met[report.node] = now
+        if (
+            now - self._last_report.get(report.node, 0)
+            > _RESTART_SUSPECTED_SECONDS
+        ):
+            self._schedule_all()
+        self._last_report[report.node] = now
         witness = NodeName(report.node)
-        odd = [one for one in report.paces if not self._take(witness, one, now)]
-        self.counts['odd'] += len(odd)
-        if odd and now - self._noted > _NOTE_SECONDS:
-            self._noted = now
+        implausible = [
+            pace
+            for pace in report.paces
+            if not self._accept(witness, pace, now)
+        ]
+        self.counts['odd'] += len(implausible)
+        if implausible and now - self._logged_at > _LOG_SECONDS:
+            self._logged_at = now
             self._log.event(
                 'paces-ignored',
                 peer=report.node,
-                count=len(odd),
-                engine=odd[0].engine,
-                gap_us=odd[0].gap_us,
-                streams=odd[0].streams,
+                count=len(implausible),
+                engine=implausible[0].engine,
+                gap_us=implausible[0].gap_us,
+                streams=implausible[0].streams,
             )
 
     def summary(self) -> dict[str, dict[str, float]]:
-        """Show what is known of each engine, for the state dump."""
+        """Return what is known of each engine, for the state dump."""
         now = clock.uptime()
         known = {
-            one.engine: self._summarize(one, now) for one in self._engines.all()
+            engine.engine: self._summarize(engine, now)
+            for engine in self._engines.all()
         }
-        return {name: one for name, one in known.items() if one['gap_ms']}
+        return {name: entry for name, entry in known.items() if entry['gap_ms']}
 
     def _summarize(self, engine: Engine, now: float) -> dict[str, float]:
         own = self._speeds.own_estimate(engine)
@@ -114,58 +124,57 @@
             'witnesses': len(self._speeds.peer_estimates(engine)),
         }
 
-    def _find(self, engine: Engine, finding: SpeedEstimate) -> None:
-        """Take what this process found."""
+    def _on_own_finding(self, engine: Engine, finding: Finding) -> None:
+        """Take a finding of this process."""
         self.counts['own'] += 1
-        if self._worth_telling(engine, finding):
-            self._speeds.mark_sent(engine, finding)
-            self._spread(engine, finding)
+        if self._should_send(engine, finding):
+            self._speeds.tell(engine, finding)
+            self._schedule(engine, finding)
 
-    def _worth_telling(self, engine: Engine, finding: SpeedEstimate) -> bool:
-        last = self._speeds.last_sent(engine)
+    def _should_send(self, engine: Engine, finding: Finding) -> bool:
+        last = self._speeds.told(engine)
         if last is not None:
-            renew = finding.at - last.at > _RENEW_SECONDS
-            more = finding.streams in _TELLING_STREAMS
-            changed = not _agree(last, finding)
-            if not (renew or more or changed):
+            due = finding.at - last.at > _RENEW_SECONDS
+            enough = finding.streams in _SEND_AT_STREAMS
+            changed = not _is_similar(last, finding)
+            if not (due or enough or changed):
                 return False
         same = sum(
-            one.weight >= finding.weight and _agree(one, finding)
-            for one in self._speeds.peer_estimates(engine).values()
-            if finding.at - one.at < _RENEW_SECONDS
+            other.weight >= finding.weight and _is_similar(other, finding)
+            for other in self._speeds.findings(engine).values()
+            if finding.at - other.at < _RENEW_SECONDS
         )
-        return same < _ENOUGH_WITNESSES
+        return same < _MAX_CONFIRMATIONS
 
-    def _take(self, witness: NodeName, told: ToldPace, now: float) -> bool:
-        """Take one finding; tell whether it makes sense."""
+    def _accept(self, witness: NodeName, told: ToldPace, now: float) -> bool:
+        """Take one finding; return whether it is plausible."""
         gap = told.gap_us / _US
-        sensible = (
-            MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS
-            and 0 < told.streams <= _MOST_STREAMS
+        plausible = (
+            LEAST_GAP <= gap <= MOST_GAP and 0 < told.streams <= _MAX_STREAMS
         )
         engine = self._engines.named(EngineId(told.engine))
-        if not sensible or engine is None:
+        if not plausible or engine is None:
             return False
-        finding = SpeedEstimate(gap, told.streams, now)
-        # It may be of a life that is over.
+        finding = Finding(gap, told.streams, now)
+        # It may be of an earlier incarnation of the engine.
         same = told.born == engine.born
         if same and self._speeds.add_peer_estimate(engine, witness, finding):
             self.counts['heard'] += 1
         return True
 
-    def _spread(self, engine: Engine, finding: SpeedEstimate) -> None:
-        until = clock.uptime() + _TOLD_SECONDS
-        self._news[engine.engine] = _News(engine, finding, until)
+    def _schedule(self, engine: Engine, finding: Finding) -> None:
+        until = clock.uptime() + _SEND_SECONDS
+        self._pending[engine.engine] = _PendingFinding(engine, finding, until)
 
-    def _tell_all(self) -> None:
-        """Tell a peer that may know nothing what was found here."""
+    def _schedule_all(self) -> None:
+        """Send all findings again, for a peer that may have restarted."""
         for engine in self._engines.all():
             told = self._speeds.last_sent(engine)
             if told is not None:
-                self._spread(engine, told)
+                self._schedule(engine, told)
 
-    def _note_uneven(self) -> None:
-        """Write a line when engines of a service are found to differ."""
+    def _log_uneven(self) -> None:
+        """Log services whose engines begin or cease to differ in speed."""
         uneven = self._speeds.uneven()
         if uneven.keys() == set(self._uneven):
             return
@@ -179,14 +188,14 @@
         self._uneven = tuple(uneven)
 
 
-def _agree(one: SpeedEstimate, other: SpeedEstimate) -> bool:
-    return abs(one.gap - other.gap) <= _CHANGED_SHARE * other.gap
+def _is_similar(one: Finding, other: Finding) -> bool:
+    return abs(one.gap - other.gap) <= _CHANGE_RATIO * other.gap
 
 
-def _told(news: _News) -> ToldPace:
+def _encode(pending: _PendingFinding) -> ToldPace:
     return ToldPace(
-        engine=news.engine.engine,
-        born=news.engine.born,
-        streams=news.finding.streams,
-        gap_us=round(news.finding.gap * _US),
+        engine=pending.engine.engine,
+        born=pending.engine.born,
+        streams=pending.finding.streams,
+        gap_us=round(pending.finding.gap * _US),
     )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/passed_on.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/passed_on.py
@@ -1,8 +1,7 @@
-"""Take a newer configuration from a peer.
+"""Fetch a newer configuration from a peer.
 
-Load pattern: the object service turns some processes away for seconds, while
-it serves the others and the operator. What it tells the others holds for all:
-a key that was taken away opens nothing, wherever its holder calls.
+The object service may reject some processes while it serves others. A change
+such as the removal of an API key must take effect in all of them.
 """
 
 import gevent
@@ -17,17 +16,16 @@
 from bendlead_gateway.types import Configuration, PeerRecord
 
 CONFIGURATION_PATH = '/peer/configuration'
-#: A watch that is well tells of a change within its gathering time, 0.15 s.
-#: One that has not done so for this long (s) may have fallen silent.
-_BEHIND_SECONDS = 0.6
-#: The largest value that the object service holds, 1 MB, takes a process of
-#: 15 Mbit/s half of this (s).
-_ANSWER_SECONDS = 1.2
+#: A healthy watch reports a change within 0.15 s; beyond this delay it may have
+#: stalled.
+_MAX_DELAY_SECONDS = 0.6
+#: Twice the transfer time of the largest configuration (1 MB) at 15 Mbit/s.
+_RESPONSE_TIMEOUT_SECONDS = 1.2
 _DECODER = msgspec.json.Decoder(Configuration)
 
 
 class PassedOnConfiguration:
-    """Fetch what a peer has and the object service does not tell here."""
+    """Fetch configurations that the object service has not sent yet."""
 
     def __init__(
         self, holder: ConfigurationHolder, watch: Watcher, log: Log
@@ -39,21 +37,21 @@
         self._fetching = False
 
     def hear(self, peer: PeerRecord, version: int) -> None:
-        """Take the version that a peer has in force."""
+        """Take the configuration version in force at a peer."""
         if version <= self._holder.version:
             return
         now = clock.uptime()
         if not self._behind_since:
             self._behind_since = now
-        late = now - self._behind_since > _BEHIND_SECONDS
-        if self._fetching or (self._watch.current and not late):
+        overdue = now - self._behind_since > _MAX_DELAY_SECONDS
+        if self._fetching or (self._watch.current and not overdue):
             return
         self._fetching = True
         gevent.spawn(self._fetch, peer, version)
 
     def _fetch(self, peer: PeerRecord, version: int) -> None:
         try:
-            fetched = _ask(peer)
+            fetched = _request(peer)
         finally:
             self._fetching = False
         if isinstance(fetched, Err):
@@ -68,10 +66,14 @@
         self._holder.take(fetched.ok_value, peer.node)
 
 
-def _ask(peer: PeerRecord) -> Result[Configuration, Failure]:
+def _request(peer: PeerRecord) -> Result[Configuration, Failure]:
     try:
         body = call_peer(
-            peer.address, 'GET', CONFIGURATION_PATH, b'', _ANSWER_SECONDS
+            peer.address,
+            'GET',
+            CONFIGURATION_PATH,
+            b'',
+            _RESPONSE_TIMEOUT_SECONDS,
         )
     except OSError as error:
         return _failed(FailureKind.UNKNOWN, peer, str(error))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
@@ -1,4 +1,4 @@
-"""What is known of one other process of ours."""
+"""State of one peer process."""
 
 from collections.abc import Sequence
 
@@ -11,56 +11,56 @@
 from bendlead_gateway._fleet.links import Link
 from bendlead_gateway.types import NodeName, PeerRecord
 
-#: A peer that was not heard for this long (s) is taken as stopped.
-_SILENT_SECONDS = 0.9
-#: An owner that was not heard for this long (s) is asked for a connection.
+#: A peer without a report for this long counts as stopped.
+_DOWN_SECONDS = 0.9
+#: An owner without a report for this long is probed for a connection.
 QUIET_SECONDS = 0.2
-#: Loads of a peer that was not heard for this long (s) are asked of others.
-_MISSED_SECONDS = 0.4
-#: Exchanges in a row that a peer may miss until each of these is so.
-_SILENT_EXCHANGES = 4
-_QUIET_EXCHANGES = 2
-_MISSED_EXCHANGES = 3
+#: After this long without a report, other peers are asked for the loads.
+_LOADS_OVERDUE_SECONDS = 0.4
+#: Missed exchanges in a row after which each of these applies.
+_DOWN_EXCHANGES = 4
+_PROBE_EXCHANGES = 2
+_LOADS_OVERDUE_EXCHANGES = 3
 
 
 class Peer(Struct):
-    """Keep what is known of one peer."""
+    """State of one peer, and what was exchanged with it."""
 
     record: PeerRecord
     report: NodeReport | None = None
     heard: float = 0
     task: gevent.Greenlet | None = None
-    #: Nodes that the peer does not hear.
+    #: Nodes whose reports the peer does not receive.
     missed: Sequence[str] = ()
     listed: float = field(default_factory=clock.uptime)
-    #: When its counts were heard last, from itself or from others.
+    #: When its counts were last received, directly or relayed.
     heard_of: float = 0
-    #: How it is linked with this process, and seconds between two exchanges.
+    #: Kind of link with this process, and seconds between two exchanges.
     link: Link = Link.NONE
     pause: float = 0
-    #: The part of the last report to it that it should hear of at once.
+    #: Part of the last report to the peer whose changes are sent at once.
     told_state: object = None
-    #: Versions of others' counts that the peer was told or told us.
+    #: Versions of other nodes' counts that the peer has.
     knows: dict[NodeName, int] = field(default_factory=dict)
-    #: It was told of all counts that arrived here up to this one.
+    #: Sequence number of the last load that was relayed to the peer.
     told_until: int = 0
-    #: The same of suspected requests.
+    #: Number of the last update on suspects that was sent to the peer.
     suspects_told: int = 0
-    #: Whether it said on this connection that it takes changes of reports.
+    #: Whether the peer accepts reports as changes on this connection.
     takes_changes: bool = False
-    #: What is held of the reports that are exchanged as changes.
+    #: Codecs for reports exchanged as changes.
     _change_link: ReportLink | None = None
-    #: The same of engines that failed.
+    #: Number of the last update on engine health that was sent to the peer.
     evidence_told: int = 0
 
     def forget_told(self) -> None:
-        """Start over with a peer that may be a process of another version."""
+        """Reset the exchange: the peer may now run another version."""
         self.forget_news()
         self.takes_changes = False
         self._change_link = None
 
     def forget_news(self) -> None:
-        """Tell all news once more: what was told last may not have arrived."""
+        """Send all updates again, since the last ones may be lost."""
         self.knows.clear()
         self.told_until = 0
         self.suspects_told = 0
@@ -68,26 +68,28 @@
 
     @property
     def change_link(self) -> ReportLink:
-        """Give what is held of its reports; few peers of many exchange any."""
+        """Codecs for changes, created on first use."""
         if self._change_link is None:
             self._change_link = ReportLink()
         return self._change_link
 
     @property
     def silent(self) -> bool:
-        """Tell whether the peer is taken as stopped."""
-        bound = max(_SILENT_SECONDS, _SILENT_EXCHANGES * self.pause)
+        """Whether the peer counts as stopped."""
+        bound = max(_DOWN_SECONDS, _DOWN_EXCHANGES * self.pause)
         return clock.uptime() - self.heard > bound
 
     @property
     def quiet(self) -> bool:
-        """Tell whether it is time to see if the peer's process has ended."""
-        bound = max(QUIET_SECONDS, _QUIET_EXCHANGES * self.pause)
+        """Whether the peer's process should be probed."""
+        bound = max(QUIET_SECONDS, _PROBE_EXCHANGES * self.pause)
         return clock.uptime() - self.heard > bound
 
     @property
     def unheard(self) -> bool:
-        """Tell whether the peer's loads should be heard and are not."""
-        bound = max(_MISSED_SECONDS, _MISSED_EXCHANGES * self.pause)
-        late = clock.uptime() - self.heard > bound
-        return late and self.link is Link.CLOSE
+        """Whether reports over a close link are overdue."""
+        bound = max(
+            _LOADS_OVERDUE_SECONDS, _LOADS_OVERDUE_EXCHANGES * self.pause
+        )
+        overdue = clock.uptime() - self.heard > bound
+        return overdue and self.link is Link.CLOSE
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_call.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_call.py
@@ -1,4 +1,4 @@
-"""Call one peer once, on a connection of its own."""
+"""Make single calls to a peer, each on a new connection."""
 
 from http import HTTPStatus
 
@@ -8,13 +8,13 @@
 
 
 class NotConnectedError(OSError):
-    """The peer got no byte of the call."""
+    """The connection failed before any byte was sent."""
 
 
 def call_peer(
     address: str, method: str, path: str, body: bytes, timeout: float
 ) -> bytes:
-    """Give the body of a good answer, or raise OSError."""
+    """Return the body of a 200 response, or raise OSError."""
     try:
         connection = HttpConnection(address, _CONNECT_SECONDS)
     except OSError as error:
@@ -26,5 +26,5 @@
     finally:
         connection.close()
     if response.head.status != HTTPStatus.OK:
-        raise OSError(f'status {response.head.status}')
+        raise OSError(f'peer responded with status {response.head.status}')
     return response.body
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -1,4 +1,4 @@
-"""Find the other processes of ours and exchange reports with them."""
+"""Discover the peer processes and exchange reports with them."""
 
 from collections.abc import Callable, Sequence
 
@@ -36,14 +36,14 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import EngineId, NodeName, NodeRole, PeerRecord
 
-_PROBE_SECONDS = 0.1
-#: Until the peers are listed there may be as many entries as this; each lets
-#: its share of a team's limit through.
-_ENTRIES_UNTIL_LISTED = 300
+_PROBE_TIMEOUT_SECONDS = 0.1
+#: Number of entries assumed until the peers are listed; limits of teams are
+#: divided by it.
+_ASSUMED_ENTRIES = 300
 
 
 class PeerTable:
-    """Know the peers and exchange reports with each of them."""
+    """Table of the peers, with which reports are exchanged."""
 
     def __init__(
         self,
@@ -72,61 +72,65 @@
         self._peers: dict[NodeName, Peer] = {}
         self._survey = Survey(own.hall, self._peers, loads)
         self._listed = False
-        #: What is exchanged of suspected requests, if anything is.
+        #: Source and sink of updates on suspects, if they are exchanged.
         self.suspects: Suspects | None = None
-        #: What is exchanged of engines that failed, if anything is.
+        #: Source and sink of updates on engine health, if they are exchanged.
         self.shared_health: SharedHealth | None = None
         self.exchanges = Exchanges(
-            own.hall, self.wire, self._report_to, self._hear, self._has_news
+            own.hall,
+            self.wire,
+            self._build_report,
+            self._on_peer_report,
+            self._has_updates,
         )
         self.processes = Processes(own, loads, self._peers)
         self.claims = Claims(self._live)
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Take the whole list of processes."""
+        """Take the complete list of processes."""
         self._listed = True
         listed = {entry.key: entry for entry in entries}
         for entry in entries:
-            self._take(entry)
-        self._lay_links()
+            self._add(entry)
+        self._rebuild_links()
         self._registration.check(listed.get(self._registration.key))
 
     def change(self, change: Change) -> None:
-        """Take one change."""
+        """Take one change to the list of processes."""
         if not change.deleted:
             entry = Entry(change.key, change.version, change.body)
-            if self._take(entry):
-                self._lay_links()
+            if self._add(entry):
+                self._rebuild_links()
 
     def exchange(self, body: bytes) -> bytes:
-        """Take a peer's report and answer with our own."""
+        """Take a peer's full report and return the own one, encoded."""
         report = self.wire.read_whole(body)
-        self._hear(report)
+        self._on_peer_report(report)
         peer = self._peers.get(NodeName(report.node))
-        return self.wire.write_whole(peer, self._report_to(peer))
+        return self.wire.write_whole(peer, self._build_report(peer))
 
     def exchange_changes(self, body: bytes) -> bytes:
-        """Take what changed of a peer's report and answer with ours."""
+        """Take a peer's report as changes and return the own one so."""
         change = self.wire.read_change(body)
         peer = self._peers.get(NodeName(change.node))
         report = self.wire.take(peer, change) if peer else None
         if report is not None:
-            self._hear(report)
-        return self.wire.write_change(peer, self._report_to(peer))
+            self._on_peer_report(report)
+        return self.wire.write_change(peer, self._build_report(peer))
 
     def peer(self, node: NodeName) -> Peer | None:
-        """Give what is known of a peer that is listed."""
+        """Return the state of a listed peer."""
         return self._peers.get(node)
 
     def record_of(self, node: NodeName) -> PeerRecord | None:
-        """Give the record of a peer that is listed."""
+        """Return the record of a listed peer."""
         peer = self._peers.get(node)
         return peer.record if peer else None
 
     def entry_group(self) -> Group:
-        """Count the entries that are heard of lately, and all there may be."""
+        """Count the entries that currently report, and all there may be."""
         if not self._listed:
-            return Group(1, _ENTRIES_UNTIL_LISTED)
+            return Group(1, _ASSUMED_ENTRIES)
         heard = 1
         entries = 1
         cut = clock.uptime() - CUT_SECONDS
@@ -141,7 +145,7 @@
         return Group(heard, entries)
 
     def strained_in_hall(self) -> list[bool]:
-        """Tell of each entry of this hall that is heard if it is strained."""
+        """Return the strained flag of each live entry of this hall."""
         return [
             peer.report.strained
             for peer in self._live()
@@ -151,7 +155,7 @@
         ]
 
     def summary(self) -> dict[str, float]:
-        """Show how long ago each peer was heard, for the state dump."""
+        """Return the seconds since each peer's report, for the state dump."""
         now = clock.uptime()
         return {
             node: round(now - peer.heard, 2) if peer.heard else -1
@@ -159,10 +163,10 @@
         }
 
     def watch_owners(self) -> None:
-        """Notice at once that the process of an owner has ended, for ever.
+        """Detect that the process of an owner has ended; runs forever.
 
-        Its machine refuses connections then; one that is cut off says nothing
-        and counts until it has been silent for long.
+        A machine whose process has ended refuses connections. An owner that is
+        merely unreachable counts until its silence exceeds the limit.
         """
         while True:
             gevent.sleep(QUIET_SECONDS / 2)
@@ -173,8 +177,8 @@
                     self._loads.forget(peer.record.node)
                     self._log.event('peer-ended', peer=peer.record.node)
 
-    def _take(self, entry: Entry) -> bool:
-        """Take the record of a process; tell whether it is new."""
+    def _add(self, entry: Entry) -> bool:
+        """Take the record of a process; return whether it is new."""
         decoded = self._dialect.peer(entry)
         if isinstance(decoded, Err):
             self._log.event('peer-unreadable', reason=decoded.err_value)
@@ -190,22 +194,22 @@
         self._log.event('peer-listed', peer=record.node, address=record.address)
         return True
 
-    def _lay_links(self) -> None:
-        """Find who is linked with whom, and talk to those linked here.
+    def _rebuild_links(self) -> None:
+        """Recompute the links and start the exchanges over the own ones.
 
-        The one of a pair whose name sorts first asks.
+        In each pair the process whose name sorts first is the client.
         """
         records = [peer.record for peer in self._peers.values()]
         self._links.lay([self._own, *records])
         for node, peer in self._peers.items():
             peer.link = self._links.between(self._own.node, node)
             peer.pause = self._links.pause(peer.link)
-            asks = self._own.node < node and peer.link is not Link.NONE
-            if asks and (peer.task is None or peer.task.dead):
+            is_client = self._own.node < node and peer.link is not Link.NONE
+            if is_client and (peer.task is None or peer.task.dead):
                 peer.task = gevent.spawn(self.exchanges.talk, peer)
 
-    def _has_news(self, peer: Peer) -> bool:
-        """Tell whether a peer should hear of something at once."""
+    def _has_updates(self, peer: Peer) -> bool:
+        """Return whether an update should be sent to the peer at once."""
         if peer.told_state != urgent_part(self._report()):
             return True
         if self.suspects and self.suspects.news(peer.suspects_told)[1]:
@@ -217,8 +221,8 @@
             return True
         return self._news.any_for(peer)
 
-    def _report_to(self, peer: Peer | None) -> NodeReport:
-        """Make the report for one peer, with what it misses or may know."""
+    def _build_report(self, peer: Peer | None) -> NodeReport:
+        """Build the report for a peer, with the updates that it lacks."""
         report = self._report()
         report.takes_changes = True
         self._news.sign(report)
@@ -240,15 +244,15 @@
                 report.levels = self._levels()
         return report
 
-    def _hear(self, report: NodeReport) -> None:
+    def _on_peer_report(self, report: NodeReport) -> None:
         node = NodeName(report.node)
         peer = self._peers.get(node)
         if peer is None:
-            # It is listed within moments; the store tells its address.
+            # Its record has not arrived from the store yet.
             return
         if peer.silent:
             self._log.event('peer-heard', peer=node)
-            # It may be a process that has just started and knows nothing.
+            # The process may have restarted and lost its state.
             peer.suspects_told = 0
             peer.evidence_told = 0
         peer.report = report
@@ -274,4 +278,4 @@
 
 
 def _has_ended(record: PeerRecord) -> bool:
-    return refuses_connections(record.address, _PROBE_SECONDS)
+    return refuses_connections(record.address, _PROBE_TIMEOUT_SECONDS)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/sums.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/sums.py
@@ -1,4 +1,4 @@
-"""Sums of the peers' counts that are kept up instead of added up."""
+"""Incremental sums of the peers' counts."""
 
 import math
 from collections.abc import Mapping
@@ -8,65 +8,65 @@
 
 from bendlead_gateway.types import EngineId, NodeName
 
-_NOTHING: Mapping[EngineId, int] = {}
+_NO_COUNTS: Mapping[EngineId, int] = {}
 
 
 class FreshSums(Struct):
-    """Keep the sum of each engine's counts over what was heard lately.
+    """Sums of each engine's counts over the unexpired reports of all peers.
 
-    A look costs the same however many peers there are; a report costs what it
-    names.
+    Reading a sum takes constant time; storing a report takes time in proportion
+    to the engines that it names.
     """
 
-    #: Counts of a peer that was heard longer ago than this (s) are dropped.
+    #: Counts older than this are dropped.
     seconds: float
     _totals: dict[EngineId, int] = field(default_factory=dict)
     _counts: dict[NodeName, Mapping[EngineId, int]] = field(
         default_factory=dict
     )
-    _heard: dict[NodeName, float] = field(default_factory=dict)
-    #: No counts are too old before this moment.
-    _sweep_at: float = math.inf
+    _received: dict[NodeName, float] = field(default_factory=dict)
+    #: No counts expire before this time.
+    _next_expiry: float = math.inf
 
     def put(
         self, node: NodeName, counts: Mapping[EngineId, int], heard: float
     ) -> None:
-        """Take a peer's counts in place of its earlier ones."""
-        known = self._counts.get(node, _NOTHING)
+        """Replace the counts of a peer."""
+        known = self._counts.get(node, _NO_COUNTS)
         if known != counts:
             self._subtract(known)
             for engine, count in counts.items():
                 self._totals[engine] = self._totals.get(engine, 0) + count
         self._counts[node] = counts
-        self._heard[node] = heard
-        self._sweep_at = min(self._sweep_at, heard + self.seconds)
+        self._received[node] = heard
+        self._next_expiry = min(self._next_expiry, heard + self.seconds)
 
     def drop(self, node: NodeName) -> None:
-        """Drop a peer's counts."""
-        self._subtract(self._counts.pop(node, _NOTHING))
-        self._heard.pop(node, None)
+        """Remove the counts of a peer."""
+        self._subtract(self._counts.pop(node, _NO_COUNTS))
+        self._received.pop(node, None)
 
     def total(self, engine: EngineId) -> int:
-        """Give the sum of the counts of an engine."""
+        """Return the sum of the counts of an engine."""
         now = clock.uptime()
-        if now >= self._sweep_at:
-            self._sweep(now)
+        if now >= self._next_expiry:
+            self._remove_expired(now)
         return self._totals.get(engine, 0)
 
     def _subtract(self, counts: Mapping[EngineId, int]) -> None:
         for engine, count in counts.items():
-            left = self._totals.get(engine, 0) - count
-            if left:
-                self._totals[engine] = left
+            remaining = self._totals.get(engine, 0) - count
+            if remaining:
+                self._totals[engine] = remaining
             else:
                 self._totals.pop(engine, None)
 
-    def _sweep(self, now: float) -> None:
-        """Drop what is too old."""
+    def _remove_expired(self, now: float) -> None:
+        """Remove expired counts."""
         oldest = now - self.seconds
-        for node, heard in list(self._heard.items()):
+        for node, heard in list(self._received.items()):
             if heard <= oldest:
                 self.drop(node)
-        self._sweep_at = (
-            min(self._heard.values(), default=math.inf) + self.seconds
+        self._next_expiry = (
+            min(self._received.values(), default=math.inf) + self.seconds
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/wire.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/wire.py
@@ -1,4 +1,4 @@
-"""Put reports into bytes: whole within a hall, by changes between halls."""
+"""Encode reports: in full within a hall, as changes between halls."""
 
 from collections import Counter
 
@@ -18,22 +18,22 @@
 
 REPORT_PATH = '/peer/report'
 CHANGES_PATH = '/peer/changes'
-_WHOLE = msgspec.json.Decoder(NodeReport)
-_CHANGE = msgspec.json.Decoder(ReportChange)
+_REPORT_DECODER = msgspec.json.Decoder(NodeReport)
+_CHANGE_DECODER = msgspec.json.Decoder(ReportChange)
 
 
 class Sent(Struct, frozen=True):
-    """Hold the bytes for a peer, and where it takes them."""
+    """An encoded report and the request path for it."""
 
     path: str
     body: bytes
 
 
 class ReportWire:
-    """Write reports to peers and read theirs.
+    """Encode reports to peers and decode theirs.
 
-    A peer is told changes once it has said that it takes them; one of an older
-    version never does, and goes on getting whole reports.
+    Peers in other halls are sent changes once they have said that they accept
+    them; peers of older versions never do and get full reports.
     """
 
     def __init__(self, hall: DataHall, log: Log) -> None:
@@ -43,20 +43,22 @@
         self.told_bytes: Counter[str] = Counter()
 
     def write(self, peer: Peer, report: NodeReport) -> Sent:
-        """Write the report that asks a peer for its own."""
-        if self._is_far(peer) and peer.takes_changes:
+        """Encode the report for a request to a peer."""
+        if self._is_in_other_hall(peer) and peer.takes_changes:
             return Sent(CHANGES_PATH, self.write_change(peer, report))
         return Sent(REPORT_PATH, self.write_whole(peer, report))
 
     def write_whole(self, peer: Peer | None, report: NodeReport) -> bytes:
-        """Write a whole report."""
+        """Encode a full report."""
         body = msgspec.json.encode(report)
-        far = peer is not None and self._is_far(peer)
-        self.told_bytes['other_hall_whole' if far else 'same_hall'] += len(body)
+        other_hall = peer is not None and self._is_in_other_hall(peer)
+        self.told_bytes['other_hall_whole' if other_hall else 'same_hall'] += (
+            len(body)
+        )
         return body
 
     def write_change(self, peer: Peer | None, report: NodeReport) -> bytes:
-        """Write what differs from the report before; whole if none is."""
+        """Encode a report as changes; in full if there is no previous one."""
         link = peer.change_link if peer else ReportLink()
         holds = link.reader.holds
         change = link.writer.write(report, holds, clock.uptime())
@@ -65,17 +67,17 @@
         return body
 
     def read_whole(self, body: bytes) -> NodeReport:
-        """Read a whole report, or raise a msgspec error."""
-        return _WHOLE.decode(body)
+        """Decode a full report, or raise a msgspec error."""
+        return _REPORT_DECODER.decode(body)
 
     def read_change(self, body: bytes) -> ReportChange:
         """Decode a change, or raise a msgspec error."""
-        return _CHANGE.decode(body)
+        return _CHANGE_DECODER.decode(body)
 
     def read_answer(
         self, peer: Peer, path: str, body: bytes
     ) -> NodeReport | None:
-        """Read what a peer answers, or raise OSError."""
+        """Decode a peer's response, or raise OSError."""
         try:
             if path == REPORT_PATH:
                 return self.read_whole(body)
@@ -84,15 +86,15 @@
             self._log.event(
                 'report-unreadable', peer=peer.record.node, reason=error
             )
-            raise OSError('unreadable report') from error
+            raise OSError('response holds no readable report') from error
 
     def take(self, peer: Peer, change: ReportChange) -> NodeReport | None:
-        """Apply a change; nothing where it lacks its base or is unreadable.
+        """Apply a change; log and return None if that is impossible.
 
-        Both are logged.
+        The base report may be missing, or the change unreadable.
         """
         if not peer.change_link.writer.confirm(change.holds):
-            # What it was told last may not have arrived.
+            # The last report to the peer may be lost.
             peer.forget_news()
         try:
             return peer.change_link.reader.read(change, clock.uptime())
@@ -102,5 +104,5 @@
             self._log.event('report-unreadable', peer=change.node, reason=error)
         return None
 
-    def _is_far(self, peer: Peer) -> bool:
+    def _is_in_other_hall(self, peer: Peer) -> bool:
         return peer.record.hall != self._hall
--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -151,7 +151,7 @@
 
     def test_names_do_not_grow_for_ever(self):
         direction = Direction()
-        with mock.patch.object(changes, '_MOST_NAMES', 100):
+        with mock.patch.object(changes, '_MAX_NAMES', 100):
             for number in range(300):
                 sent = report(online={f'i-{number}': 1})
                 self.assertEqual(sent, direction.send(sent))
@@ -343,7 +343,7 @@
         [('grown', 22, 4, 2), ('large', 63, 5, 2), ('more', 120, 3, 8)]
     )
     def test_fewer_bytes_as_soon(self, _name, processes, halls, part):
-        with mock.patch.object(links, '_CARRIERS', processes):
+        with mock.patch.object(links, '_RELAYS_PER_HALL', processes):
             before = ReportReplay(processes, halls, 1, changes=False).run(0.6)
         after = ReportReplay(processes, halls, 1, changes=True).run(0.6)
         self.assertLess(after.bytes_between, before.bytes_between / part)
@@ -359,7 +359,7 @@
         replay.run(0.2)
         replay.cut('hall-0', 'hall-1')
         ages = replay.run(3, warm=3).far_ages
-        self.assertLess(max(ages), loads._REPORT_SECONDS)
+        self.assertLess(max(ages), loads._EXPIRY_SECONDS)
 
     def test_half_are_suspended_and_wake(self):
         """What they told is forgotten; they go on where they were."""
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -240,10 +240,10 @@
     def test_told_to_a_peer_that_starts_again(self):
         self._stream(0)
         for _report in range(2):
-            self.nodes[0]._news.clear()
+            self.nodes[0]._pending.clear()
             self._pass(1, 0)
         self.assertEqual([], self.nodes[0].tell())
-        self.nodes[0]._met.clear()
+        self.nodes[0]._last_report.clear()
         self._pass(1, 0)
         self._pass(0, 1)
         self.assertAlmostEqual(_USUAL, self._gap(1), places=4)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -158,8 +158,8 @@
         """Its shards would be taken over, and what runs there lost."""
         # All times are thrice as long, so that a busy machine does not decide.
         with (
-            mock.patch.object(exchanges_module, '_ANSWER_SECONDS', 1.8),
-            mock.patch.object(exchanges_module, '_FIRST_PAUSE', 0.6),
+            mock.patch.object(exchanges_module, '_TIMEOUT_SECONDS', 1.8),
+            mock.patch.object(exchanges_module, '_MIN_BACKOFF_SECONDS', 0.6),
         ):
             for _repeat in range(3):
                 gevent.sleep(0.1)
