--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -1,6 +1,6 @@
-"""Reports between data halls are told as changes, whatever is lost.
+"""Reports sent as changes between data halls survive any lost message.
 
-Processes exchange in memory; clocks are the tests' own.
+Processes exchange reports in memory with clocks of the tests.
 """
 
 import os
@@ -38,17 +38,17 @@
 
 
 def report(**fields) -> NodeReport:
-    """Make a report of one node."""
+    """Return a report of node a."""
     return NodeReport(node='a', sound=True, leaving=False, **fields)
 
 
 def told(**fields) -> ToldLoad:
-    """Make what is told of another node."""
+    """Return a relayed load of node c."""
     return ToldLoad(node='c', age_ms=20, **fields)
 
 
-class Direction:
-    """Send reports over one direction of a link."""
+class OneWayLink:
+    """One direction of a link, in memory."""
 
     def __init__(self) -> None:
         self.writer = ChangeWriter()
@@ -56,7 +56,7 @@
         self.size = 0
 
     def send(self, sent: NodeReport, now: float = NOW) -> NodeReport:
-        """Send a report; give it as it arrives."""
+        """Send a report; return it as received."""
         self.writer.confirm(self.reader.holds)
         body = msgspec.json.encode(self.writer.write(sent, 0, now))
         self.size = len(body)
@@ -66,7 +66,7 @@
 
 
 class ChangesTest(unittest.TestCase):
-    """What arrives is what was sent, in fewer bytes."""
+    """Changes decode to the reports sent and take fewer bytes."""
 
     @parameterized.expand(
         [
@@ -84,26 +84,26 @@
         ]
     )
     def test_change_arrives(self, _name, changed):
-        direction = Direction()
+        direction = OneWayLink()
         first = report(
             online={'i-1': 2, 'i-2': 2},
             version=7,
             told=[told(online={'i-1': 2}, version=4, teams={'t': 5})],
         )
         self.assertEqual(first, direction.send(first))
-        whole = direction.size
+        full_size = direction.size
         plain = {**msgspec.to_builtins(report(online=first.online)), **changed}
         second = msgspec.convert(msgspec.to_builtins(plain), NodeReport)
         for sent in (second, first, second):
             self.assertEqual(sent, direction.send(sent))
-            self.assertLess(direction.size, whole / 2)
+            self.assertLess(direction.size, full_size / 2)
 
     def test_all_fields_are_compared(self):
-        """A field that is added to the schema is told with no change here."""
+        """A field missing from the comparison would never be updated."""
         kinds = {dict: {'x': 1}, int: 9, bool: True, list: [], str: 'a'}
         plain = msgspec.to_builtins(report())
         sent = {name: kinds[type(one)] for name, one in plain.items()}
-        direction = Direction()
+        direction = OneWayLink()
         direction.send(report())
         arrived = direction.send(msgspec.convert(sent, NodeReport))
         self.assertEqual(sent, msgspec.to_builtins(arrived))
@@ -116,32 +116,32 @@
             ('never', -1, -1),
         ]
     )
-    def test_ages_grow_by_themselves(self, _name, answered, failed):
-        direction = Direction()
+    def test_growing_ages_are_not_resent(self, _name, answered, failed):
+        direction = OneWayLink()
         direction.send(report(answered_ms=answered, failed_ms=failed))
-        quiet = report(
+        later = report(
             answered_ms=answered + 500 if answered >= 0 else -1,
             failed_ms=failed + 500 if failed >= 0 else -1,
         )
-        arrived = direction.send(quiet, NOW + 0.5)
-        self.assertEqual(quiet, arrived)
+        arrived = direction.send(later, NOW + 0.5)
+        self.assertEqual(later, arrived)
         self.assertLess(direction.size, 70)
 
     @parameterized.expand([('answers', 5, 900), ('fails', 900, 5)])
-    def test_change_of_the_service_is_told(self, _name, answered, failed):
-        direction = Direction()
+    def test_change_of_service_state_is_sent(self, _name, answered, failed):
+        direction = OneWayLink()
         direction.send(report(answered_ms=failed, failed_ms=answered))
-        turned = report(answered_ms=answered, failed_ms=failed)
-        arrived = direction.send(turned, NOW + 0.1)
+        changed = report(answered_ms=answered, failed_ms=failed)
+        arrived = direction.send(changed, NOW + 0.1)
         self.assertEqual(
             answered < failed, arrived.answered_ms < arrived.failed_ms
         )
 
-    def test_gap_is_noticed_and_made_whole(self):
-        direction = Direction()
+    def test_gap_is_detected_and_report_resent(self):
+        direction = OneWayLink()
         direction.send(report(online={'i-1': 2}))
         direction.writer.confirm(direction.reader.holds)
-        direction.writer.write(report(online={'i-1': 3}), 0, NOW)  # Is lost.
+        direction.writer.write(report(online={'i-1': 3}), 0, NOW)  # lost
         direction.writer.confirm(direction.reader.holds + 1)
         later = direction.writer.write(report(online={'i-1': 4}), 0, NOW)
         with self.assertRaises(ReportGapError):
@@ -149,8 +149,8 @@
         sent = report(online={'i-1': 5})
         self.assertEqual(sent, direction.send(sent))
 
-    def test_names_do_not_grow_for_ever(self):
-        direction = Direction()
+    def test_number_of_names_is_bounded(self):
+        direction = OneWayLink()
         with mock.patch.object(changes, '_MAX_NAMES', 100):
             for number in range(300):
                 sent = report(online={f'i-{number}': 1})
@@ -177,8 +177,8 @@
         self.assertEqual(0, reader.holds)
 
 
-class Side:
-    """Be one process, which counts one engine's requests."""
+class FakeProcess:
+    """A process that counts the requests on one engine."""
 
     def __init__(self, case: unittest.TestCase, name: str, hall: str) -> None:
         self.record = PeerRecord(
@@ -191,8 +191,8 @@
         self.lost = 0
         self.restart([])
 
-    def restart(self, others: list['Side']) -> None:
-        """Start the process anew."""
+    def restart(self, others: list['FakeProcess']) -> None:
+        """Start the process with empty state."""
         sink = os.open(os.devnull, os.O_WRONLY)
         self._case.addCleanup(os.close, sink)
         self.loads = LoadTable()
@@ -212,7 +212,7 @@
             ),
             lambda _report: None,
         )
-        # Neither of two asks by itself: the tests do.
+        # The tests trigger each exchange themselves.
         with mock.patch.object(Exchanges, 'talk'):
             self.peers.reset(
                 [
@@ -226,8 +226,8 @@
                 after_outage=False,
             )
 
-    def ask(self, other: 'Side') -> None:
-        """Exchange reports with another."""
+    def ask(self, other: 'FakeProcess') -> None:
+        """Exchange reports with another process."""
         peer = self.peers.peer(other.record.node)
         try:
             self.peers.exchanges.ask(peer, Connection(other))
@@ -236,15 +236,15 @@
 
 
 class Connection:
-    """Hand requests to a process in memory."""
+    """Connection that hands requests to a process in memory."""
 
     address = '127.0.0.1:1'
 
-    def __init__(self, side: Side) -> None:
+    def __init__(self, side: FakeProcess) -> None:
         self._side = side
 
     def request(self, _method, path, _headers, body, _timeout) -> Response:
-        """Answer as the process does, or lose the answer."""
+        """Return the process's response, or lose it."""
         side = self._side
         side.paths.append(path)
         if path == REPORT_PATH:
@@ -264,85 +264,85 @@
 
 
 class PairTest(unittest.TestCase):
-    """Two processes, and what may go wrong between them."""
+    """Two processes keep exchanging loads after faults."""
 
     def setUp(self):
-        self.one = Side(self, 'a', 'hall-1')
-        self.other = Side(self, 'b', 'hall-2')
+        self.one = FakeProcess(self, 'a', 'hall-1')
+        self.other = FakeProcess(self, 'b', 'hall-2')
         self.one.restart([self.other])
         self.other.restart([self.one])
         for _exchange in range(3):
             self.one.ask(self.other)
 
-    def check_news(self):
-        """See that news of both sides arrive with the next exchange."""
+    def check_updates(self):
+        """Check that loads of both sides arrive with the next exchange."""
         for side in (self.one, self.other):
             side.online['i-1'] = side.online.get('i-1', 0) + 2
-            # Versions are of the millisecond.
+            # Versions have a resolution of one millisecond.
             time.sleep(0.002)
         self.one.ask(self.other)
-        for side, teller in ((self.one, self.other), (self.other, self.one)):
-            known = side.loads.latest(teller.record.node)
-            self.assertEqual(teller.online, known.online)
+        for side, sender in ((self.one, self.other), (self.other, self.one)):
+            known = side.loads.latest(sender.record.node)
+            self.assertEqual(sender.online, known.online)
 
-    def test_changes_are_told(self):
-        self.check_news()
+    def test_changes_are_sent(self):
+        self.check_updates()
         self.assertEqual(REPORT_PATH, self.other.paths[0])
         self.assertEqual(CHANGES_PATH, self.other.paths[-1])
 
-    def test_answer_lost(self):
+    def test_response_lost(self):
         self.other.lost = 1
         self.one.ask(self.other)
-        self.check_news()
+        self.check_updates()
 
     @parameterized.expand([('asker', 'one'), ('asked', 'other')])
     def test_restart_under_the_same_name(self, _name, which):
         side = getattr(self, which)
         side.restart([self.other if side is self.one else self.one])
-        self.check_news()
-        self.check_news()
+        self.check_updates()
+        self.check_updates()
 
     def test_both_ask_at_once(self):
         self.other.ask(self.one)
-        self.check_news()
+        self.check_updates()
         self.other.ask(self.one)
-        self.check_news()
+        self.check_updates()
 
-    def test_older_version_is_told_all(self):
+    def test_older_version_gets_full_reports(self):
         self.other.takes_changes = False
         for _exchange in range(2):
             self.one.ask(self.other)
-        self.check_news()
+        self.check_updates()
         self.assertEqual(REPORT_PATH, self.other.paths[-1])
 
-    def test_clock_of_day_is_set(self):
-        """Ages run on the steady clock; versions of a life go on rising."""
+    def test_wall_clock_set_back(self):
+        """Setting the wall clock back must not stop updates."""
         with mock.patch('time.time', lambda: NOW):
-            self.check_news()
-            self.check_news()
+            self.check_updates()
+            self.check_updates()
 
-    def test_within_a_hall_all_is_told(self):
-        near = Side(self, 'c', 'hall-1')
-        near.restart([self.one])
-        self.one.restart([near])
+    def test_full_reports_within_a_hall(self):
+        neighbor = FakeProcess(self, 'c', 'hall-1')
+        neighbor.restart([self.one])
+        self.one.restart([neighbor])
         for _exchange in range(3):
-            self.one.ask(near)
-        self.assertEqual({REPORT_PATH}, set(near.paths))
+            self.one.ask(neighbor)
+        self.assertEqual({REPORT_PATH}, set(neighbor.paths))
 
     def test_unreadable_change_is_logged(self):
         bad = ReportChange(node='a', number=5, changes=[7, 7])
         self.other.peers.exchange_changes(msgspec.json.encode(bad))
         self.assertIn('report-unreadable', self.other.log.recent[-1])
-        self.check_news()
+        self.check_updates()
 
 
 class FleetTest(unittest.TestCase):
-    """A fleet under a steady load of requests."""
+    """A simulated fleet with steady load."""
 
     @parameterized.expand(
         [('grown', 22, 4, 2), ('large', 63, 5, 2), ('more', 120, 3, 8)]
     )
-    def test_fewer_bytes_as_soon(self, _name, processes, halls, part):
+    def test_fewer_bytes_without_delay(self, _name, processes, halls, part):
         with mock.patch.object(links, '_RELAYS_PER_HALL', processes):
             before = ReportReplay(processes, halls, 1, changes=False).run(0.6)
         after = ReportReplay(processes, halls, 1, changes=True).run(0.6)
@@ -354,15 +354,15 @@
         )
 
     def test_halls_cut_from_one_another(self):
-        """A third hall, asked for the nodes that are missed, tells of them."""
+        """Loads of the other hall must arrive by way of the third one."""
         replay = ReportReplay(36, 3, 1, changes=True)
         replay.run(0.2)
         replay.cut('hall-0', 'hall-1')
         ages = replay.run(3, warm=3).far_ages
         self.assertLess(max(ages), loads._EXPIRY_SECONDS)
 
-    def test_half_are_suspended_and_wake(self):
-        """What they told is forgotten; they go on where they were."""
+    def test_half_suspended_and_resumed(self):
+        """Suspended processes expire and are known again after resuming."""
         replay = ReportReplay(30, 3, 1, changes=True)
         replay.run(0.2, warm=1.5)
         self.assertEqual(30 * 29, replay.known())
--- a/tests/test_gateway_links.py
+++ b/tests/test_gateway_links.py
@@ -1,4 +1,4 @@
-"""Which processes exchange reports, and how far news has to go."""
+"""Which processes exchange reports, and over how many hops they pass."""
 
 import unittest
 from collections import deque
@@ -9,25 +9,25 @@
 
 
 def fleet(*halls: tuple[int, int]) -> list[PeerRecord]:
-    """Make the records of halls with so many entries and owners each."""
-    made = []
+    """Return records of halls with these numbers of entries and owners."""
+    records = []
     for number, (entries, owners) in enumerate(halls):
         hall = DataHall(f'hall-{number}')
         for role, count in (
             (NodeRole.ENTRY, entries),
             (NodeRole.OWNER, owners),
         ):
-            made += [
+            records += [
                 PeerRecord(
                     NodeName(f'{role.value}-{hall}-{index}'), role, hall, ''
                 )
                 for index in range(count)
             ]
-    return made
+    return records
 
 
 def close_links(records: list[PeerRecord]) -> dict[NodeName, list[NodeName]]:
-    """List the close links of each process."""
+    """Return the close links of each process."""
     links = Links()
     links.lay(records)
     names = [record.node for record in records]
@@ -40,20 +40,20 @@
 
 
 def hops_from(start: NodeName, links: dict[NodeName, list[NodeName]]):
-    """Count the links from one process to each that news reaches."""
+    """Count the hops from one process to each that is reachable."""
     hops = {start: 0}
     queue = deque([start])
     while queue:
         node = queue.popleft()
-        for near in links[node]:
-            if near not in hops:
-                hops[near] = hops[node] + 1
-                queue.append(near)
+        for neighbor in links[node]:
+            if neighbor not in hops:
+                hops[neighbor] = hops[node] + 1
+                queue.append(neighbor)
     return hops
 
 
 class LinksTest(unittest.TestCase):
-    """Links of fleets of many sizes."""
+    """Links in fleets of many sizes."""
 
     @parameterized.expand(
         [
@@ -66,29 +66,29 @@
             ('fourteen_halls', [(20, 1)] * 14, 8),
         ],
     )
-    def test_news_reaches_all_over_few_links(self, _name, halls, most_hops):
+    def test_reports_reach_all_over_few_links(self, _name, halls, max_hops):
         records = fleet(*halls)
         links = close_links(records)
         owners = sum(owners for _entries, owners in halls)
         for record in records:
             hops = hops_from(record.node, links)
             self.assertEqual(len(records), len(hops))
-            self.assertLessEqual(max(hops.values()), most_hops)
-            others = owners if record.role is NodeRole.OWNER else 0
-            self.assertLessEqual(len(links[record.node]), 8 + others)
+            self.assertLessEqual(max(hops.values()), max_hops)
+            owner_links = owners if record.role is NodeRole.OWNER else 0
+            self.assertLessEqual(len(links[record.node]), 8 + owner_links)
 
     def test_both_sides_agree(self):
         records = fleet((11, 1), (12, 1), (5, 1))
         links = Links()
         links.lay(records)
-        # Each lays the links from a list in an order of its own.
-        others = Links()
-        others.lay(records[::-1])
+        # The order of the records must not matter.
+        other_links = Links()
+        other_links.lay(records[::-1])
         for one in records:
             for other in records:
                 self.assertIs(
                     links.between(one.node, other.node),
-                    others.between(other.node, one.node),
+                    other_links.between(other.node, one.node),
                 )
 
     @parameterized.expand(
@@ -100,15 +100,15 @@
             ('three_hundred', [(99, 1), (99, 1), (99, 1)], 0.08),
         ],
     )
-    def test_pause_over_a_close_link(self, _name, halls, pause):
+    def test_interval_over_a_close_link(self, _name, halls, pause):
         links = Links()
         links.lay(fleet(*halls))
         self.assertAlmostEqual(pause, links.pause(Link.CLOSE))
 
-    def test_small_fleets_are_linked_each_with_each(self):
+    def test_small_fleets_are_a_full_mesh(self):
         records = fleet((5, 1), (5, 1), (4, 1))
-        for near in close_links(records).values():
-            self.assertEqual(len(records) - 1, len(near))
+        for neighbors in close_links(records).values():
+            self.assertEqual(len(records) - 1, len(neighbors))
 
     @parameterized.expand(
         [
--- a/tests/test_gateway_loads.py
+++ b/tests/test_gateway_loads.py
@@ -1,4 +1,4 @@
-"""For how long the requests and items of a silent peer count."""
+"""How long the requests and items of a silent peer count."""
 
 import random
 import unittest
@@ -10,7 +10,7 @@
 
 
 class LoadTableTest(unittest.TestCase):
-    """One peer told of two requests and three items some seconds ago."""
+    """Expiry of the reports of a single peer."""
 
     @parameterized.expand(
         [
@@ -20,7 +20,7 @@
         ]
     )
     def test_silent_peer(self, _name, age, counted):
-        """Items go on where their owner's machine has lost power."""
+        """Items may run on although their owner's machine has lost power."""
         with mock.patch.object(loads.clock, 'uptime') as clock:
             clock.return_value = 100.0
             table = loads.LoadTable()
@@ -38,11 +38,11 @@
         ]
     )
     def test_unstoppable_items(self, _name, pause, age, counted):
-        """Items of an owner that hears nothing step aside for nobody."""
+        """Items can't be preempted while their owner misses reports."""
         with mock.patch.object(loads.clock, 'uptime') as clock:
             table = loads.LoadTable()
-            for told_at in (100.0, 100.0 + pause):
-                clock.return_value = told_at
+            for reported_at in (100.0, 100.0 + pause):
+                clock.return_value = reported_at
                 table.report('owner-1', {}, {'i-1': 3})
             clock.return_value += age
             self.assertEqual(counted, table.unstoppable('i-1'))
@@ -63,7 +63,7 @@
             clock.return_value = 100.0 + age
             self.assertEqual(expected, list(table.item_owners()))
 
-    def test_peer_that_has_ended(self):
+    def test_ended_peer(self):
         table = loads.LoadTable()
         table.report('owner-1', {'i-1': 2}, {'i-1': 3})
         table.forget('owner-1')
@@ -71,18 +71,18 @@
 
 
 class CountedMapping(Mapping):
-    """Hold a peer's counts and note each look at them."""
+    """Counts of a peer that record each read."""
 
     def __init__(self, counts: dict[str, int]) -> None:
         self.counts = counts
-        self.looks = 0
+        self.reads = 0
 
     def __getitem__(self, key: str) -> int:
-        self.looks += 1
+        self.reads += 1
         return self.counts[key]
 
     def __iter__(self) -> Iterator[str]:
-        self.looks += 1
+        self.reads += 1
         return iter(self.counts)
 
     def __len__(self) -> int:
@@ -90,44 +90,44 @@
 
 
 class SumsTest(unittest.TestCase):
-    """Sums that are kept up as reports come, change, age and go."""
+    """Sums that are updated as reports arrive, change and expire."""
 
-    def test_look_reads_no_report(self):
-        """Choosing an engine costs the same before 6 peers and before 600."""
+    def test_sum_reads_no_report(self):
+        """Choosing an engine must not slow down with the number of peers."""
         table = loads.LoadTable()
         told = [CountedMapping({'i-1': 1}) for _peer in range(100)]
         for number, counts in enumerate(told):
             table.report(f'entry-{number}', counts, counts)
         for counts in told:
-            counts.looks = 0
+            counts.reads = 0
         self.assertEqual((100, 100), (table.online('i-1'), table.batch('i-1')))
-        self.assertEqual(0, sum(counts.looks for counts in told))
+        self.assertEqual(0, sum(counts.reads for counts in told))
 
     @parameterized.expand([(seed,) for seed in range(5)])
-    def test_sums_are_those_of_the_fresh_reports(self, seed):
-        chance = random.Random(seed)
-        kept: dict[str, tuple[float, dict[str, int]]] = {}
+    def test_sums_equal_those_of_unexpired_reports(self, seed):
+        rng = random.Random(seed)
+        latest: dict[str, tuple[float, dict[str, int]]] = {}
         with mock.patch.object(loads.clock, 'uptime') as clock:
             clock.return_value = 100.0
             table = loads.LoadTable()
             for _step in range(300):
-                clock.return_value += chance.random() * 0.2
-                node = f'entry-{chance.randrange(9)}'
-                if chance.random() < 0.1:
+                clock.return_value += rng.random() * 0.2
+                node = f'entry-{rng.randrange(9)}'
+                if rng.random() < 0.1:
                     table.forget(node)
-                    kept.pop(node, None)
+                    latest.pop(node, None)
                 else:
-                    engines = [f'i-{chance.randrange(4)}' for _ in range(5)]
+                    engines = [f'i-{rng.randrange(4)}' for _ in range(5)]
                     counts = {'i-0': 0} | {
                         one: engines.count(one) for one in engines
                     }
                     table.report(node, counts, {})
-                    kept[node] = (clock.return_value, counts)
+                    latest[node] = (clock.return_value, counts)
                 oldest = clock.return_value - 1.5
                 for engine in ('i-0', 'i-1', 'i-2', 'i-3'):
                     expected = sum(
                         counts.get(engine, 0)
-                        for heard, counts in kept.values()
+                        for heard, counts in latest.values()
                         if heard > oldest
                     )
                     self.assertEqual(expected, table.online(engine))
--- a/tests/test_gateway_news.py
+++ b/tests/test_gateway_news.py
@@ -1,6 +1,6 @@
-"""How soon a change of load is known in fleets of some sizes.
+"""How soon a change of load is known in fleets of several sizes.
 
-Reports are handed over in memory by a clock of the test's own.
+Reports are delivered in memory with a simulated clock.
 """
 
 import heapq
@@ -20,7 +20,7 @@
 
 
 class Process:
-    """Know the loads that one process of the fleet knows."""
+    """One process of the fleet and the loads that it knows."""
 
     def __init__(self, record: PeerRecord, links: Links) -> None:
         self.record = record
@@ -29,7 +29,7 @@
         self.peers: dict[NodeName, Peer] = {}
 
     def report_to(self, node: NodeName) -> NodeReport:
-        """Make the report for a peer."""
+        """Build the report for a peer."""
         own = self.loads.own
         report = NodeReport(
             node=self.record.node,
@@ -43,7 +43,7 @@
         return report
 
     def hear(self, report: NodeReport) -> None:
-        """Take a peer's report."""
+        """Receive a peer's report."""
         self.news.take(self.peers[NodeName(report.node)], report.told)
         self.loads.report(
             NodeName(report.node),
@@ -54,10 +54,10 @@
 
 
 class SimulatedFleet:
-    """Exchange reports over all links as the clock goes on."""
+    """Exchange reports over all links in simulated time."""
 
     def __init__(self, entries: int, halls: int, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.now = START
         self.links = Links()
         records = [
@@ -76,7 +76,7 @@
             for second in range(first + 1, entries):
                 self._link(first, second)
         self.exchanges = 0
-        self.told = 0
+        self.relayed = 0
 
     def _link(self, first: int, second: int) -> None:
         one, other = self.processes[first], self.processes[second]
@@ -85,11 +85,11 @@
             return
         one.peers[other.record.node] = Peer(other.record, link=link)
         other.peers[one.record.node] = Peer(one.record, link=link)
-        start = START + self.chance.random() * self.links.pause(link)
+        start = START + self.rng.random() * self.links.pause(link)
         heapq.heappush(self.due, (start, first, second))
 
     def run_until(self, moment: float) -> None:
-        """Make all exchanges that are due."""
+        """Run all exchanges that are due by then."""
         while self.due[0][0] <= moment:
             self.now, first, second = heapq.heappop(self.due)
             self._exchange(self.processes[first], self.processes[second])
@@ -98,19 +98,19 @@
         self.now = moment
 
     def _exchange(self, one: Process, other: Process) -> None:
-        for teller, hearer in ((one, other), (other, one)):
-            report = teller.report_to(hearer.record.node)
-            hearer.hear(report)
-            self.told += len(report.told)
+        for sender, receiver in ((one, other), (other, one)):
+            report = sender.report_to(receiver.record.node)
+            receiver.hear(report)
+            self.relayed += len(report.told)
         self.exchanges += 1
 
     def known(self, engine: str) -> list[int]:
-        """List the load of an engine as each process knows it."""
-        return [one.loads.online(engine) for one in self.processes]
+        """Return the load of an engine as known to each process."""
+        return [process.loads.online(engine) for process in self.processes]
 
 
-class FreshnessTest(unittest.TestCase):
-    """A change of load is known everywhere at once or nearly."""
+class PropagationTest(unittest.TestCase):
+    """Changes of load are known everywhere within a bound."""
 
     @parameterized.expand(
         [
@@ -133,8 +133,8 @@
             fleet.run_until(START + 0.6 + seconds)
             self.assertEqual({3}, set(fleet.known('i-0')))
 
-    def test_counts_that_stay_are_known_on_and_end(self):
-        """What is told on counts for 1.5 s; it is told anew before."""
+    def test_unchanged_counts_persist_and_expire(self):
+        """Unchanged counts must be renewed before they expire."""
         fleet = SimulatedFleet(63, 5, seed=2)
         with mock.patch.object(loads.clock, 'uptime', lambda: fleet.now):
             fleet.processes[0].loads.own.online['i-0'] = 2
--- a/tests/test_gateway_passed_on.py
+++ b/tests/test_gateway_passed_on.py
@@ -1,4 +1,4 @@
-"""A configuration comes by way of peers where the object service is silent."""
+"""Processes fetch configurations from peers if the object service fails."""
 
 import gevent
 from bendlead_gateway._entry import EntryNode
@@ -19,8 +19,8 @@
 )
 
 
-class TurnedAwayTest(EntryCase):
-    """The object service serves one entry and turns the other away."""
+class RejectedEntryTest(EntryCase):
+    """The object service serves one entry and rejects the other."""
 
     def setUp(self):
         super().setUp()
@@ -37,17 +37,17 @@
         eventually(lambda: self.other.peers.entry_group().heard == 2)
 
     def configure(self, version, keys):
-        """Put a configuration with the keys of one team in force."""
+        """Store a configuration with these API keys and wait for it."""
         made = {
             **configuration(version, route('safe')),
             'tenants': [{'name': 'team-1', 'api_keys': keys}],
         }
         self.store.set('config', 'main', made)
-        known = self.entry.fleet.configuration
-        eventually(lambda: known.version == version)
+        held = self.entry.fleet.configuration
+        eventually(lambda: held.version == version)
 
     def status(self):
-        """Give the status of a request at the entry that is turned away."""
+        """Return the status of a request to the rejected entry."""
         first, self.entry = self.entry, self.other
         head, _body = self.read(self.ask(extra=[('X-Credential', _KEY)]))
         self.entry = first
@@ -61,28 +61,28 @@
             ('silent', Trouble.SILENT),
         ],
     )
-    def test_key_taken_away_meanwhile(self, _name, trouble):
+    def test_key_is_revoked(self, _name, trouble):
         self.assertEqual(200, self.status())
         self.door.trouble = trouble
         self.configure(3, ['another'])
-        known = self.other.fleet.configuration
-        eventually(lambda: known.version == 3, 2)
+        held = self.other.fleet.configuration
+        eventually(lambda: held.version == 3, 2)
         self.assertNotEqual(200, self.status())
 
-    def test_never_back_to_an_older_version(self):
-        """A peer that knows less is not asked."""
+    def test_older_configuration_is_ignored(self):
+        """A peer with an older configuration must not be asked."""
         self.door.trouble = Trouble.CUT
         self.configure(3, [_KEY])
-        known = self.other.fleet.configuration
-        eventually(lambda: known.version == 3, 2)
-        self.entry.fleet.configuration._in_force = type(known._in_force)()
+        held = self.other.fleet.configuration
+        eventually(lambda: held.version == 3, 2)
+        self.entry.fleet.configuration._in_force = type(held._in_force)()
         gevent.sleep(0.3)
-        self.assertEqual(3, known.version)
+        self.assertEqual(3, held.version)
         self.assertEqual(200, self.status())
 
-    def test_messages_between_processes_hold_no_key(self):
-        passed = call_peer(
+    def test_configuration_response_holds_no_key(self):
+        fetched = call_peer(
             self.entry.record.address, 'GET', CONFIGURATION_PATH, b'', 1
         )
-        self.assertIn(b'team-1', passed)
-        self.assertNotIn(_KEY.encode(), passed)
+        self.assertIn(b'team-1', fetched)
+        self.assertNotIn(_KEY.encode(), fetched)
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -19,23 +19,23 @@
 
 
 def record(name: str, role: NodeRole = NodeRole.OWNER) -> PeerRecord:
-    """Make the record of a node that answers nobody."""
+    """Return the record of a node that accepts no connections."""
     return PeerRecord(NodeName(name), role, DataHall('hall-1'), '127.0.0.1:1')
 
 
 def shards(*pairs: tuple[int, int]) -> list[HeldShard]:
-    """Make claims from pairs of shard and epoch."""
+    """Return claims from pairs of shard and epoch."""
     return [HeldShard(shard=shard, epoch=epoch) for shard, epoch in pairs]
 
 
 class PeerCase(unittest.TestCase):
-    """Start a node that knows an owner and an entry."""
+    """A node that knows one owner and one entry."""
 
     def setUp(self):
         dialect = PlatformDialect()
         sink = os.open(os.devnull, os.O_WRONLY)
         self.addCleanup(os.close, sink)
-        # The name sorts last, so that this node waits for the others to ask.
+        # The name sorts last, so that this node is never the client.
         own = record('z')
         self.loads = LoadTable()
         self.peers = PeerTable(
@@ -58,11 +58,11 @@
         self.peers.reset(entries, after_outage=False)
 
 
-class ClaimTest(PeerCase):
-    """Who holds a shard, by what is heard at first and at second hand."""
+class OwnershipTest(PeerCase):
+    """Shard ownership from direct and relayed reports."""
 
-    def hear(self, node, held=(), heard=()):
-        """Take a report."""
+    def receive(self, node, held=(), heard=()):
+        """Receive a report."""
         report = NodeReport(
             node=node,
             sound=True,
@@ -81,12 +81,12 @@
             ('other_shard', [(2, 3)], [(2, 3)], 0, None),
         ],
     )
-    def test_claim(self, _name, held, heard, claimed, holder):
-        self.hear('a', held)
-        self.hear('e', heard=heard)
+    def test_claim(self, _name, held, heard, claimed, owner):
+        self.receive('a', held)
+        self.receive('e', heard=heard)
         self.assertEqual(claimed, self.peers.claims.claimed(1))
         found = self.peers.claims.holder(1)
-        self.assertEqual(holder, found and found.node)
+        self.assertEqual(owner, found and found.node)
 
     @parameterized.expand(
         [
@@ -95,7 +95,7 @@
             ('stuck_but_another_holds_it', False, 4, False),
         ],
     )
-    def test_stuck_holder(self, _name, sound, epoch, expected):
+    def test_stuck_owner(self, _name, sound, epoch, expected):
         report = NodeReport(
             node='a', sound=sound, leaving=False, shards=shards((1, 3))
         )
@@ -103,33 +103,33 @@
         self.assertEqual(expected, self.peers.claims.holder_is_stuck(1, epoch))
 
     @parameterized.expand([('stays', False, 'e'), ('leaves', True, None)])
-    def test_way_by_an_entry(self, _name, leaving, way):
-        """An entry that leaves may end before the answer is there."""
+    def test_route_by_an_entry(self, _name, leaving, route):
+        """An entry that is leaving may stop before it has responded."""
         report = NodeReport(
             node='e', sound=True, leaving=leaving, heard=shards((1, 3))
         )
         self.peers.exchange(msgspec.json.encode(report))
         found = self.peers.claims.way_to(1)
-        self.assertEqual(way, found and found.node)
+        self.assertEqual(route, found and found.node)
 
-    def test_unheard_peer_counts_for_nothing(self):
+    def test_peer_without_report_is_ignored(self):
         self.assertEqual(0, self.peers.claims.claimed(1))
         self.assertEqual([], self.peers.claims.able_owners())
 
 
-class SecondHandTest(PeerCase):
-    """Loads of a node that only some of the others hear."""
+class RelayedLoadTest(PeerCase):
+    """Loads of a node whose reports only some peers receive."""
 
-    def tell(self, node, **fields):
-        """Send a report and give the answer."""
+    def exchange(self, node, **fields):
+        """Receive a report and return the response."""
         report = NodeReport(node=node, sound=True, leaving=False, **fields)
         answer = self.peers.exchange(msgspec.json.encode(report))
         return msgspec.json.decode(answer, type=NodeReport)
 
-    def test_peer_is_told_what_it_misses(self):
-        self.tell('a', batch={'i-1': 3})
-        self.tell('e', missed=['a', 'nobody'])
-        told = self.tell('e', missed=['a', 'nobody']).told
+    def test_missed_reports_are_relayed(self):
+        self.exchange('a', batch={'i-1': 3})
+        self.exchange('e', missed=['a', 'nobody'])
+        told = self.exchange('e', missed=['a', 'nobody']).told
         self.assertEqual([('a', {'i-1': 3})], [(t.node, t.batch) for t in told])
 
     @parameterized.expand(
@@ -139,21 +139,21 @@
             ('too_old', None, 5000, 0),
         ],
     )
-    def test_loads_at_second_hand(self, _name, direct, age_ms, counted):
+    def test_relayed_loads(self, _name, direct, age_ms, counted):
         if direct is not None:
-            self.tell('a', batch={'i-1': direct})
+            self.exchange('a', batch={'i-1': direct})
         told = ToldLoad(node='a', age_ms=age_ms, batch={'i-1': 3})
-        self.tell('e', told=[told])
+        self.exchange('e', told=[told])
         self.assertEqual(counted, self.loads.batch('i-1'))
 
-    def test_unheard_peer_is_asked_for(self):
-        self.tell('e')
+    def test_missing_reports_are_requested(self):
+        self.exchange('e')
         time.sleep(0.5)
-        self.assertEqual(['a'], list(self.tell('e').missed))
+        self.assertEqual(['a'], list(self.exchange('e').missed))
 
 
 class LargeFleetTest(PeerCase):
-    """Loads reach a peer that does not exchange with where they are."""
+    """Loads are relayed between nodes that don't exchange reports."""
 
     NODES = tuple(f'entry-{number}' for number in range(30))
 
@@ -166,8 +166,8 @@
             body = dialect.encode_peer(listed)
             self.peers.change(Change(key, Version(2), False, body))
 
-    def told_to(self, node):
-        """Have a node report and name those it is told of."""
+    def relayed_to(self, node):
+        """Receive a node's report; return the loads relayed to it."""
         report = NodeReport(
             node=node, sound=True, leaving=False, online={node: 2}, version=7
         )
@@ -175,24 +175,24 @@
         told = msgspec.json.decode(answer, type=NodeReport).told
         return [(one.node, dict(one.online)) for one in told]
 
-    def test_news_is_told_once(self):
+    def test_report_is_relayed_once(self):
         for node in self.NODES:
-            self.told_to(node)
-        first = [self.told_to(node) for node in self.NODES]
+            self.relayed_to(node)
+        first = [self.relayed_to(node) for node in self.NODES]
         self.assertTrue(any(first))
         for one in first:
             self.assertLess(len(one), len(self.NODES))
             for node, counts in one:
                 self.assertEqual({node: 2}, counts)
-        again = [self.told_to(node) for node in self.NODES]
+        again = [self.relayed_to(node) for node in self.NODES]
         self.assertFalse(any(again))
 
 
 class EndedOwnerTest(PeerCase):
-    """An owner whose process has ended loses its shards within moments."""
+    """An owner whose process has ended loses its shards at once."""
 
     @parameterized.expand([('ended', True, 0), ('cut_off', False, 3)])
-    def test_quiet_owner(self, _name, refuses, claimed):
+    def test_silent_owner(self, _name, refuses, claimed):
         self.listen(refuses)
         report = NodeReport(
             node='b', sound=True, leaving=False, shards=shards((1, 3))
@@ -224,7 +224,7 @@
 
 
 class _FailingStore:
-    """Fail all calls in one way and count them."""
+    """Store that fails all calls in one route and records them."""
 
     def __init__(self, kind):
         self._failed = Err(Failure(kind, 'PUT', '127.0.0.1:1'))
@@ -241,8 +241,8 @@
         return self._failed
 
 
-class RegisterTest(unittest.TestCase):
-    """Each call to the object service is paid for, refused ones too."""
+class RegistrationTest(unittest.TestCase):
+    """Registration must not retry too often: each call is paid for."""
 
     @parameterized.expand(
         [
--- a/tests/test_gateway_rest.py
+++ b/tests/test_gateway_rest.py
@@ -1,4 +1,4 @@
-"""Exchanges between data halls rest while there is nothing new to tell."""
+"""Exchanges between data halls slow down while there are no updates."""
 
 import unittest
 from functools import partial
@@ -25,7 +25,7 @@
 
 
 class RestTest(unittest.TestCase):
-    """Two entries, of which the first asks the second."""
+    """Two entries, of which the first is the client."""
 
     def setUp(self):
         self.addCleanup(Tasks().end)
@@ -34,7 +34,7 @@
         self.store.set('config', 'main', configuration(1, route('safe')))
 
     def start(self, first_hall, second_hall):
-        """Start both and wait until they exchange reports."""
+        """Start both entries and wait until they exchange reports."""
         self.asks = self.entry('entry-1', first_hall)
         self.answers = self.entry('entry-2', second_hall)
         eventually(lambda: self.asks.peers.entry_group().heard == 2)
@@ -51,7 +51,7 @@
         return node
 
     def exchanges(self, seconds):
-        """Count the exchanges of some seconds."""
+        """Count the exchanges within some seconds."""
         counted = []
         for name in ('exchange', 'exchange_changes'):
             answer = getattr(self.answers.peers, name)
@@ -66,7 +66,7 @@
         return len(counted)
 
     def is_heard(self, loads, count):
-        """Tell whether so many requests are known of."""
+        """Return whether this number of requests is known."""
         return loads.online(_ENGINE) == count
 
     @parameterized.expand(
