--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/news.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -17,10 +17,10 @@
 
 #: Takes a node, its counts of admitted requests by team, their version and the
 #: time of its report.
-OnTeams = Callable[[NodeName, TeamCounts, int, float], None]
+OnTeamCounts = Callable[[NodeName, TeamCounts, int, float], None]
 
 
-def ignore_teams(
+def ignore_team_counts(
     node: NodeName, told: TeamCounts, version: int, heard: float
 ) -> None:
     """Ignore counts by team, in processes that admit no clients."""
@@ -37,7 +37,7 @@
 _REFRESH_SECONDS = 0.5
 
 
-def urgent_part(report: NodeReport) -> object:
+def urgent_state(report: NodeReport) -> object:
     """Return the part of a report whose changes are sent at once."""
     return (
         report.online,
@@ -62,7 +62,7 @@
     teams: Mapping[str, int] | None = None
 
 
-class LoadNews:
+class LoadRelay:
     """Relay loads to peers that do not receive them directly.
 
     Close peers are sent all new reports of nodes that they are not closely
@@ -76,7 +76,7 @@
         own: NodeName,
         loads: LoadTable,
         links: Links,
-        on_teams: OnTeams = ignore_teams,
+        on_teams: OnTeamCounts = ignore_team_counts,
     ) -> None:
         self._own = own
         self._on_teams = on_teams
@@ -84,7 +84,7 @@
         self._links = links
         self._own_counts = _OwnCounts()
 
-    def sign(self, report: NodeReport) -> None:
+    def set_version(self, report: NodeReport) -> None:
         """Set the version of the own counts in a report."""
         last = self._own_counts
         now = clock.uptime()
@@ -103,7 +103,7 @@
             )
         report.version = self._own_counts.version
 
-    def tell(self, peer: Peer) -> list[ToldLoad]:
+    def reports_for(self, peer: Peer) -> list[ToldLoad]:
         """Return the reports that a peer asked for and those new to it."""
         told: list[ToldLoad] = []
         for name in peer.missed[:_MAX_REQUESTED_NODES]:
@@ -114,12 +114,12 @@
             told.extend(self._new_reports(peer))
         return told
 
-    def any_for(self, peer: Peer) -> bool:
+    def has_reports_for(self, peer: Peer) -> bool:
         """Return whether there are new reports to relay to a peer."""
         arrived = self._loads.since(peer.told_until)
         return any(self._wants(peer, node, known) for node, known in arrived)
 
-    def take(self, peer: Peer, told: Sequence[ToldLoad]) -> None:
+    def receive(self, peer: Peer, told: Sequence[ToldLoad]) -> None:
         """Take relayed reports; older ones than those known are ignored."""
         now = clock.uptime()
         for load in told:
@@ -127,7 +127,7 @@
             if node == self._own:
                 continue
             peer.knows[node] = load.version
-            teams = counts_of_teams(load)
+            teams = team_counts(load)
             age = load.age_ms / _MS
             self._loads.report(
                 node,
@@ -173,7 +173,7 @@
     )
 
 
-def counts_of_teams(report: NodeReport | ToldLoad) -> TeamCounts:
+def team_counts(report: NodeReport | ToldLoad) -> TeamCounts:
     """Return a node's counts of admitted requests by team."""
     return TeamCounts(
         report.life,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -15,14 +15,14 @@
 from bendlead_gateway._fleet.claims import Claims
 from bendlead_gateway._fleet.exchanges import Exchanges
 from bendlead_gateway._fleet.links import Link, Links
-from bendlead_gateway._fleet.loads import LoadTable
-from bendlead_gateway._fleet.news import (
-    LoadNews,
-    OnTeams,
-    counts_of_teams,
-    ignore_teams,
-    urgent_part,
+from bendlead_gateway._fleet.load_relay import (
+    LoadRelay,
+    OnTeamCounts,
+    ignore_team_counts,
+    team_counts,
+    urgent_state,
 )
+from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peer import QUIET_SECONDS, Peer
 from bendlead_gateway._fleet.probe import refuses_connections
 from bendlead_gateway._fleet.processes import Processes
@@ -54,7 +54,7 @@
         log: Log,
         report: Callable[[], NodeReport],
         on_report: Callable[[NodeReport], None],
-        on_teams: OnTeams = ignore_teams,
+        on_teams: OnTeamCounts = ignore_team_counts,
         levels: Callable[[], dict[str, float]] = dict,
     ) -> None:
         self._own = own
@@ -68,7 +68,7 @@
         self._levels = levels
         self.wire = ReportWire(own.hall, log)
         self._links = Links()
-        self._news = LoadNews(own.node, loads, self._links, on_teams)
+        self._relay = LoadRelay(own.node, loads, self._links, on_teams)
         self._peers: dict[NodeName, Peer] = {}
         self._survey = Survey(own.hall, self._peers, loads)
         self._listed = False
@@ -210,7 +210,7 @@
 
     def _has_updates(self, peer: Peer) -> bool:
         """Return whether an update should be sent to the peer at once."""
-        if peer.told_state != urgent_part(self._report()):
+        if peer.told_state != urgent_state(self._report()):
             return True
         if self.suspects and self.suspects.news(peer.suspects_told)[1]:
             return True
@@ -219,16 +219,16 @@
         shared = self.shared_health
         if shared and shared.updates_after(peer.evidence_told)[1]:
             return True
-        return self._news.any_for(peer)
+        return self._relay.has_reports_for(peer)
 
     def _build_report(self, peer: Peer | None) -> NodeReport:
         """Build the report for a peer, with the updates that it lacks."""
         report = self._report()
         report.takes_changes = True
-        self._news.sign(report)
+        self._relay.set_version(report)
         if peer is not None:
-            peer.told_state = urgent_part(report)
-            report.told = self._news.tell(peer)
+            peer.told_state = urgent_state(report)
+            report.told = self._relay.reports_for(peer)
             if self.suspects:
                 peer.suspects_told, report.suspects = self.suspects.news(
                     peer.suspects_told
@@ -259,11 +259,11 @@
         peer.takes_changes = report.takes_changes
         peer.heard = clock.uptime()
         peer.missed = report.missed
-        self._news.take(peer, report.told)
+        self._relay.receive(peer, report.told)
         if self.suspects:
             self.suspects.hear(report.suspects)
         self._on_report(report)
-        teams = counts_of_teams(report)
+        teams = team_counts(report)
         self._loads.report(
             node,
             {EngineId(name): count for name, count in report.online.items()},
--- a/testing/src/bendlead_testing/report_replay.py
+++ b/testing/src/bendlead_testing/report_replay.py
@@ -14,7 +14,7 @@
 from bendlead_gateway._fleet import loads
 from bendlead_gateway._fleet.changes import ReportLink
 from bendlead_gateway._fleet.links import Link, Links
-from bendlead_gateway._fleet.news import LoadNews, counts_of_teams
+from bendlead_gateway._fleet.load_relay import LoadRelay, team_counts
 from bendlead_gateway._fleet.peer import Peer
 from bendlead_gateway._fleet.survey import Survey
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
@@ -56,7 +56,7 @@
     def __init__(self, record: PeerRecord, links: Links) -> None:
         self.record = record
         self.loads = loads.LoadTable()
-        self.news = LoadNews(record.node, self.loads, links)
+        self.relay = LoadRelay(record.node, self.loads, links)
         self.peers: dict[NodeName, Peer] = {}
         self.survey = Survey(record.hall, self.peers, self.loads)
         #: Times at which its counts changed.
@@ -72,8 +72,8 @@
             life=1,
             teams={_TEAM: len(self.changed)},
         )
-        self.news.sign(report)
-        report.told = self.news.tell(peer)
+        self.relay.set_version(report)
+        report.told = self.relay.reports_for(peer)
         report.missed = self.survey.missed_by(peer.record.node)
         return report
 
@@ -81,13 +81,13 @@
         peer = self.peers[NodeName(report.node)]
         peer.heard = loads.clock.uptime()
         peer.missed = report.missed
-        self.news.take(peer, report.told)
+        self.relay.receive(peer, report.told)
         self.loads.report(
             NodeName(report.node),
             report.online,
             report.batch,
             version=report.version,
-            teams=counts_of_teams(report),
+            teams=team_counts(report),
         )
 
     def seen_of(self, node: NodeName) -> int:
--- a/tests/test_gateway_news.py
+++ b/tests/test_gateway_news.py
@@ -10,7 +10,7 @@
 
 from bendlead_gateway._fleet import loads
 from bendlead_gateway._fleet.links import Link, Links
-from bendlead_gateway._fleet.news import LoadNews
+from bendlead_gateway._fleet.load_relay import LoadRelay
 from bendlead_gateway._fleet.peer import Peer
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
 from bendlead_schema.gateway import NodeReport
@@ -25,7 +25,7 @@
     def __init__(self, record: PeerRecord, links: Links) -> None:
         self.record = record
         self.loads = loads.LoadTable()
-        self.news = LoadNews(record.node, self.loads, links)
+        self.relay = LoadRelay(record.node, self.loads, links)
         self.peers: dict[NodeName, Peer] = {}
 
     def report_to(self, node: NodeName) -> NodeReport:
@@ -38,13 +38,13 @@
             online=dict(+own.online),
             batch=dict(+own.batch),
         )
-        self.news.sign(report)
-        report.told = self.news.tell(self.peers[node])
+        self.relay.set_version(report)
+        report.told = self.relay.reports_for(self.peers[node])
         return report
 
     def hear(self, report: NodeReport) -> None:
         """Receive a peer's report."""
-        self.news.take(self.peers[NodeName(report.node)], report.told)
+        self.relay.receive(self.peers[NodeName(report.node)], report.told)
         self.loads.report(
             NodeName(report.node),
             report.online,
