--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_news.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
@@ -49,7 +49,7 @@
     until: float
 
 
-class PaceNews:
+class PaceUpdates:
     """Exchange with peers how fast engines are."""
 
     def __init__(self, engines: EngineList, pace: PaceTable, log: Log) -> None:
@@ -64,7 +64,7 @@
         self.counts: Counter[str] = Counter()
         pace.on_finding = self._on_own_finding
 
-    def tell(self) -> list[ToldPace]:
+    def outgoing(self) -> list[ToldPace]:
         """Return the findings for one report."""
         now = clock.uptime()
         self._log_uneven()
@@ -78,7 +78,7 @@
         pending = list(self._pending.values())[:_MAX_FINDINGS_PER_REPORT]
         return [_encode(finding) for finding in pending]
 
-    def hear(self, report: NodeReport) -> None:
+    def receive(self, report: NodeReport) -> None:
         """Take the findings in a peer's report."""
         now = clock.uptime()
         if (
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._fleet.pace_news import PaceNews
+from bendlead_gateway._fleet.pace_updates import PaceUpdates
 from bendlead_gateway._fleet.passed_on import (
     CONFIGURATION_PATH,
     PassedOnConfiguration,
@@ -73,7 +73,7 @@
             self.metrics,
             LocalNode(settings.node, settings.hall),
         )
-        self._paces = PaceNews(self.fleet.engines, self.fleet.pace, self.log)
+        self._paces = PaceUpdates(self.fleet.engines, self.fleet.pace, self.log)
         self.leaving = False
         self._told_to_stop = False
         self._reloader: Reloader | None = None
@@ -153,7 +153,7 @@
     def hear_report(self, report: NodeReport) -> None:
         """Take what a peer said."""
         self.fleet.notice(report)
-        self._paces.hear(report)
+        self._paces.receive(report)
         record = self.peers.record_of(NodeName(report.node))
         if record is not None:
             self._passed_on.hear(record, report.configuration)
@@ -179,7 +179,7 @@
             batch={name: count for name, count in own.batch.items() if count},
             run_ms=round(self.fleet.pace.run_seconds * _MS),
             shards=[],
-            paces=self._paces.tell(),
+            paces=self._paces.outgoing(),
             revisions=self.fleet.revisions(),
             answered_ms=_age_ms(self.store.contact.answered_at),
             failed_ms=_age_ms(self.store.contact.failed_at),
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -5,7 +5,7 @@
 import gevent
 import msgspec
 from bendlead_gateway._fleet.pace import PaceTable, StreamPace
-from bendlead_gateway._fleet.pace_news import PaceNews
+from bendlead_gateway._fleet.pace_updates import PaceUpdates
 from bendlead_gateway._log import Log
 from bendlead_gateway._scheduling.placement import Traffic, choose_engine
 from bendlead_gateway._scheduling.speed import EngineSpeeds
@@ -204,7 +204,7 @@
         self.logs = [Log(name) for name in names]
         engines = _Engines(self.engine)
         self.nodes = [
-            PaceNews(engines, pace, log)
+            PaceUpdates(engines, pace, log)
             for pace, log in zip(self.paces, self.logs, strict=True)
         ]
 
@@ -222,9 +222,9 @@
             node=f'entry-{source}',
             sound=True,
             leaving=False,
-            paces=self.nodes[source].tell(),
+            paces=self.nodes[source].outgoing(),
         )
-        self.nodes[target].hear(report)
+        self.nodes[target].receive(report)
         return report
 
     def _gap(self, node: int) -> float:
@@ -242,7 +242,7 @@
         for _report in range(2):
             self.nodes[0]._pending.clear()
             self._pass(1, 0)
-        self.assertEqual([], self.nodes[0].tell())
+        self.assertEqual([], self.nodes[0].outgoing())
         self.nodes[0]._last_report.clear()
         self._pass(1, 0)
         self._pass(0, 1)
@@ -252,10 +252,10 @@
         for source in (1, 2):
             self._stream(source)
             self._pass(source, 0)
-        self.nodes[0].tell()
-        told = len(self.nodes[0].tell())
+        self.nodes[0].outgoing()
+        told = len(self.nodes[0].outgoing())
         self._stream(0)
-        self.assertEqual(told, len(self.nodes[0].tell()))
+        self.assertEqual(told, len(self.nodes[0].outgoing()))
 
     def test_coalesced_events(self):
         stream = StreamPace(
@@ -296,8 +296,8 @@
             leaving=False,
             paces=[ToldPace(**{**good, **odd})] * 40,
         )
-        self.nodes[0].hear(report)
-        self.nodes[0].hear(report)
+        self.nodes[0].receive(report)
+        self.nodes[0].receive(report)
         self.assertEqual(0, self._gap(0))
         self.assertEqual(80, self.nodes[0].counts['odd'])
         noted = [one for one in self.logs[0].recent if 'paces-ignored' in one]
@@ -305,7 +305,7 @@
 
     def test_finding_of_an_earlier_life(self):
         told = ToldPace(engine='a', born=2, streams=9, gap_us=90_000)
-        self.nodes[0].hear(
+        self.nodes[0].receive(
             NodeReport(node='x', sound=True, leaving=False, paces=[told])
         )
         self.assertEqual(0, self._gap(0))
