--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/passed_on.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_configuration.py
@@ -24,7 +24,7 @@
 _DECODER = msgspec.json.Decoder(Configuration)
 
 
-class PassedOnConfiguration:
+class PeerConfigurationFetcher:
     """Fetch configurations that the object service has not sent yet."""
 
     def __init__(
@@ -36,7 +36,7 @@
         self._behind_since = 0.0
         self._fetching = False
 
-    def hear(self, peer: PeerRecord, version: int) -> None:
+    def on_peer_version(self, peer: PeerRecord, version: int) -> None:
         """Take the configuration version in force at a peer."""
         if version <= self._holder.version:
             return
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -14,9 +14,9 @@
 
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._fleet.pace_updates import PaceUpdates
-from bendlead_gateway._fleet.passed_on import (
+from bendlead_gateway._fleet.peer_configuration import (
     CONFIGURATION_PATH,
-    PassedOnConfiguration,
+    PeerConfigurationFetcher,
 )
 from bendlead_gateway._fleet.peers import PeerTable
 from bendlead_gateway._fleet.store_calls import STORE_PATH, answer_call
@@ -102,7 +102,7 @@
         self.peers_watch = self.fleet.watcher(
             dialect.peers_prefix, self.peers, _GATHER_PEERS_SECONDS
         )
-        self._passed_on = PassedOnConfiguration(
+        self._passed_on = PeerConfigurationFetcher(
             self.fleet.configuration, self.fleet.config_watch, self.log
         )
         self._exchanges: dict[str, Callable[[bytes], bytes]] = {
@@ -156,7 +156,7 @@
         self._paces.receive(report)
         record = self.peers.record_of(NodeName(report.node))
         if record is not None:
-            self._passed_on.hear(record, report.configuration)
+            self._passed_on.on_peer_version(record, report.configuration)
 
     def hear_teams(
         self, node: NodeName, told: TeamCounts, version: int, heard: float
--- a/tests/test_gateway_passed_on.py
+++ b/tests/test_gateway_passed_on.py
@@ -2,8 +2,8 @@
 
 import gevent
 from bendlead_gateway._entry import EntryNode
-from bendlead_gateway._fleet.passed_on import CONFIGURATION_PATH
 from bendlead_gateway._fleet.peer_call import call_peer
+from bendlead_gateway._fleet.peer_configuration import CONFIGURATION_PATH
 from bendlead_gateway.types import NodeRole
 from bendlead_platform import PlatformDialect, PlatformStore
 from bendlead_testing.platform_store import Door, Trouble
