--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
@@ -99,7 +99,7 @@
         self._restart()
 
     @property
-    def must_resend_whole(self) -> bool:
+    def must_resend_full(self) -> bool:
         """Whether the peer has acknowledged another report than the last."""
         return self._needs_full
 
@@ -182,7 +182,7 @@
         self._restart()
 
     @property
-    def holds(self) -> int:
+    def last_number(self) -> int:
         """Number of the last report received; 0 if none is held."""
         return self._number
 
@@ -268,7 +268,7 @@
         return self._names[index]
 
 
-class ReportLink(Struct):
+class ChangeCodec(Struct):
     """Codecs for both directions of the reports exchanged with a peer."""
 
     writer: ChangeWriter = field(default_factory=ChangeWriter)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/exchanges.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/exchanges.py
@@ -14,7 +14,7 @@
 
 from bendlead_gateway._fleet.links import Link
 from bendlead_gateway._fleet.peer import Peer
-from bendlead_gateway._fleet.wire import ReportWire
+from bendlead_gateway._fleet.report_codec import ReportCodec
 from bendlead_gateway._http.client import HttpConnection
 from bendlead_gateway.types import DataHall
 
@@ -32,14 +32,14 @@
     def __init__(
         self,
         hall: DataHall,
-        wire: ReportWire,
+        codec: ReportCodec,
         build_report: Callable[[Peer], NodeReport],
         on_report: Callable[[NodeReport], None],
         has_updates: Callable[[Peer], bool],
     ) -> None:
         """Take callbacks for building, receiving and announcing reports."""
         self._hall = hall
-        self._wire = wire
+        self._codec = codec
         self._build_report = build_report
         self._on_report = on_report
         self._has_updates = has_updates
@@ -50,7 +50,7 @@
         Resends the report in full if the peer lacks the one it is based on.
         """
         self._exchange_once(peer, connection)
-        if peer.takes_changes and peer.change_link.writer.must_resend_whole:
+        if peer.takes_changes and peer.change_codec.writer.must_resend_full:
             self._exchange_once(peer, connection)
 
     def talk(self, peer: Peer) -> None:
@@ -93,7 +93,7 @@
             gevent.sleep(peer.pause)
 
     def _exchange_once(self, peer: Peer, connection: HttpConnection) -> None:
-        sent = self._wire.write(peer, self._build_report(peer))
+        sent = self._codec.encode(peer, self._build_report(peer))
         response = connection.request(
             'POST',
             sent.path,
@@ -103,6 +103,6 @@
         )
         if response.head.status != HTTPStatus.OK:
             raise OSError(f'peer responded with status {response.head.status}')
-        report = self._wire.read_answer(peer, sent.path, response.body)
+        report = self._codec.decode_response(peer, sent.path, response.body)
         if report is not None:
             self._on_report(report)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
@@ -7,7 +7,7 @@
 from bendlead_store import clock
 from msgspec import Struct, field
 
-from bendlead_gateway._fleet.changes import ReportLink
+from bendlead_gateway._fleet.changes import ChangeCodec
 from bendlead_gateway._fleet.links import Link
 from bendlead_gateway.types import NodeName, PeerRecord
 
@@ -49,7 +49,7 @@
     #: Whether the peer accepts reports as changes on this connection.
     takes_changes: bool = False
     #: Codecs for reports exchanged as changes.
-    _change_link: ReportLink | None = None
+    _change_link: ChangeCodec | None = None
     #: Number of the last update on engine health that was sent to the peer.
     evidence_told: int = 0
 
@@ -67,10 +67,10 @@
         self.evidence_told = 0
 
     @property
-    def change_link(self) -> ReportLink:
+    def change_codec(self) -> ChangeCodec:
         """Codecs for changes, created on first use."""
         if self._change_link is None:
-            self._change_link = ReportLink()
+            self._change_link = ChangeCodec()
         return self._change_link
 
     @property
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -27,8 +27,8 @@
 from bendlead_gateway._fleet.probe import refuses_connections
 from bendlead_gateway._fleet.processes import Processes
 from bendlead_gateway._fleet.registration import Registration
+from bendlead_gateway._fleet.report_codec import ReportCodec
 from bendlead_gateway._fleet.survey import CUT_SECONDS, Survey
-from bendlead_gateway._fleet.wire import ReportWire
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
 from bendlead_gateway._suspects.suspects import Suspects
@@ -66,7 +66,7 @@
         self._on_report = on_report
         self._on_teams = on_teams
         self._levels = levels
-        self.wire = ReportWire(own.hall, log)
+        self.codec = ReportCodec(own.hall, log)
         self._links = Links()
         self._relay = LoadRelay(own.node, loads, self._links, on_teams)
         self._peers: dict[NodeName, Peer] = {}
@@ -78,7 +78,7 @@
         self.shared_health: SharedHealth | None = None
         self.exchanges = Exchanges(
             own.hall,
-            self.wire,
+            self.codec,
             self._build_report,
             self._on_peer_report,
             self._has_updates,
@@ -104,19 +104,19 @@
 
     def exchange(self, body: bytes) -> bytes:
         """Take a peer's full report and return the own one, encoded."""
-        report = self.wire.read_whole(body)
+        report = self.codec.decode_full(body)
         self._on_peer_report(report)
         peer = self._peers.get(NodeName(report.node))
-        return self.wire.write_whole(peer, self._build_report(peer))
+        return self.codec.encode_full(peer, self._build_report(peer))
 
     def exchange_changes(self, body: bytes) -> bytes:
         """Take a peer's report as changes and return the own one so."""
-        change = self.wire.read_change(body)
+        change = self.codec.decode_change(body)
         peer = self._peers.get(NodeName(change.node))
-        report = self.wire.take(peer, change) if peer else None
+        report = self.codec.apply(peer, change) if peer else None
         if report is not None:
             self._on_peer_report(report)
-        return self.wire.write_change(peer, self._build_report(peer))
+        return self.codec.encode_change(peer, self._build_report(peer))
 
     def peer(self, node: NodeName) -> Peer | None:
         """Return the state of a listed peer."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/wire.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_codec.py
@@ -8,8 +8,8 @@
 from msgspec import Struct
 
 from bendlead_gateway._fleet.changes import (
+    ChangeCodec,
     ReportGapError,
-    ReportLink,
     UnreadableChangeError,
 )
 from bendlead_gateway._fleet.peer import Peer
@@ -22,14 +22,14 @@
 _CHANGE_DECODER = msgspec.json.Decoder(ReportChange)
 
 
-class Sent(Struct, frozen=True):
+class EncodedReport(Struct, frozen=True):
     """An encoded report and the request path for it."""
 
     path: str
     body: bytes
 
 
-class ReportWire:
+class ReportCodec:
     """Encode reports to peers and decode theirs.
 
     Peers in other halls are sent changes once they have said that they accept
@@ -40,64 +40,64 @@
         self._hall = hall
         self._log = log
         #: Bytes of reports sent, by kind of link.
-        self.told_bytes: Counter[str] = Counter()
+        self.sent_bytes: Counter[str] = Counter()
 
-    def write(self, peer: Peer, report: NodeReport) -> Sent:
+    def encode(self, peer: Peer, report: NodeReport) -> EncodedReport:
         """Encode the report for a request to a peer."""
         if self._is_in_other_hall(peer) and peer.takes_changes:
-            return Sent(CHANGES_PATH, self.write_change(peer, report))
-        return Sent(REPORT_PATH, self.write_whole(peer, report))
+            return EncodedReport(CHANGES_PATH, self.encode_change(peer, report))
+        return EncodedReport(REPORT_PATH, self.encode_full(peer, report))
 
-    def write_whole(self, peer: Peer | None, report: NodeReport) -> bytes:
+    def encode_full(self, peer: Peer | None, report: NodeReport) -> bytes:
         """Encode a full report."""
         body = msgspec.json.encode(report)
         other_hall = peer is not None and self._is_in_other_hall(peer)
-        self.told_bytes['other_hall_whole' if other_hall else 'same_hall'] += (
+        self.sent_bytes['other_hall_whole' if other_hall else 'same_hall'] += (
             len(body)
         )
         return body
 
-    def write_change(self, peer: Peer | None, report: NodeReport) -> bytes:
+    def encode_change(self, peer: Peer | None, report: NodeReport) -> bytes:
         """Encode a report as changes; in full if there is no previous one."""
-        link = peer.change_link if peer else ReportLink()
-        holds = link.reader.holds
+        link = peer.change_codec if peer else ChangeCodec()
+        holds = link.reader.last_number
         change = link.writer.write(report, holds, clock.uptime())
         body = msgspec.json.encode(change)
-        self.told_bytes['other_hall_changes'] += len(body)
+        self.sent_bytes['other_hall_changes'] += len(body)
         return body
 
-    def read_whole(self, body: bytes) -> NodeReport:
+    def decode_full(self, body: bytes) -> NodeReport:
         """Decode a full report, or raise a msgspec error."""
         return _REPORT_DECODER.decode(body)
 
-    def read_change(self, body: bytes) -> ReportChange:
+    def decode_change(self, body: bytes) -> ReportChange:
         """Decode a change, or raise a msgspec error."""
         return _CHANGE_DECODER.decode(body)
 
-    def read_answer(
+    def decode_response(
         self, peer: Peer, path: str, body: bytes
     ) -> NodeReport | None:
         """Decode a peer's response, or raise OSError."""
         try:
             if path == REPORT_PATH:
-                return self.read_whole(body)
-            return self.take(peer, self.read_change(body))
+                return self.decode_full(body)
+            return self.apply(peer, self.decode_change(body))
         except msgspec.MsgspecError as error:
             self._log.event(
                 'report-unreadable', peer=peer.record.node, reason=error
             )
             raise OSError('response holds no readable report') from error
 
-    def take(self, peer: Peer, change: ReportChange) -> NodeReport | None:
+    def apply(self, peer: Peer, change: ReportChange) -> NodeReport | None:
         """Apply a change; log and return None if that is impossible.
 
         The base report may be missing, or the change unreadable.
         """
-        if not peer.change_link.writer.confirm(change.holds):
+        if not peer.change_codec.writer.confirm(change.holds):
             # The last report to the peer may be lost.
             peer.forget_news()
         try:
-            return peer.change_link.reader.read(change, clock.uptime())
+            return peer.change_codec.reader.read(change, clock.uptime())
         except ReportGapError as gap:
             self._log.event('report-gap', peer=change.node, reason=gap)
         except UnreadableChangeError as error:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -19,10 +19,10 @@
     PeerConfigurationFetcher,
 )
 from bendlead_gateway._fleet.peers import PeerTable
+from bendlead_gateway._fleet.report_codec import CHANGES_PATH, REPORT_PATH
 from bendlead_gateway._fleet.store_calls import STORE_PATH, answer_call
 from bendlead_gateway._fleet.store_failover import FailoverStore
-from bendlead_gateway._fleet.wire import CHANGES_PATH, REPORT_PATH
-from bendlead_gateway._health.evaluator import LocalNode
+from bendlead_gateway._health.judge import Seat
 from bendlead_gateway._http.messages import Request, Responder
 from bendlead_gateway._http.server import HttpServer
 from bendlead_gateway._log import Log
@@ -214,7 +214,7 @@
         elif request.path == '/metrics':
             self.metrics.dropped_lines = self.log.dropped
             self.metrics.store_calls = self.store.calls
-            self.metrics.load.told_bytes = self.peers.wire.told_bytes
+            self.metrics.load.told_bytes = self.peers.codec.sent_bytes
             self.metrics.load.pace_findings = self._paces.counts
             responder.answer(HTTPStatus.OK, (), self.metrics.page())
         elif request.path == '/debug/state':
--- a/testing/src/bendlead_testing/report_replay.py
+++ b/testing/src/bendlead_testing/report_replay.py
@@ -12,7 +12,7 @@
 
 import msgspec
 from bendlead_gateway._fleet import loads
-from bendlead_gateway._fleet.changes import ReportLink
+from bendlead_gateway._fleet.changes import ChangeCodec
 from bendlead_gateway._fleet.links import Link, Links
 from bendlead_gateway._fleet.load_relay import LoadRelay, team_counts
 from bendlead_gateway._fleet.peer import Peer
@@ -212,10 +212,12 @@
     def _send_changes(
         self, report: NodeReport, peer: Peer, receiver: _Process
     ) -> int:
-        reverse: ReportLink = receiver.peers[NodeName(report.node)].change_link
-        peer.change_link.writer.confirm(reverse.reader.holds)
-        holds = peer.change_link.reader.holds
-        change = peer.change_link.writer.write(report, holds, self._now)
+        reverse: ChangeCodec = receiver.peers[
+            NodeName(report.node)
+        ].change_codec
+        peer.change_codec.writer.confirm(reverse.reader.last_number)
+        holds = peer.change_codec.reader.last_number
+        change = peer.change_codec.writer.write(report, holds, self._now)
         body = msgspec.json.encode(change)
         told = msgspec.json.decode(body, type=type(change))
         receiver.hear(reverse.reader.read(told, self._now))
--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -19,7 +19,7 @@
 from bendlead_gateway._fleet.exchanges import Exchanges
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peers import PeerTable
-from bendlead_gateway._fleet.wire import CHANGES_PATH, REPORT_PATH
+from bendlead_gateway._fleet.report_codec import CHANGES_PATH, REPORT_PATH
 from bendlead_gateway._http.client import Response, ResponseHead
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
@@ -57,7 +57,7 @@
 
     def send(self, sent: NodeReport, now: float = NOW) -> NodeReport:
         """Send a report; return it as received."""
-        self.writer.confirm(self.reader.holds)
+        self.writer.confirm(self.reader.last_number)
         body = msgspec.json.encode(self.writer.write(sent, 0, now))
         self.size = len(body)
         return self.reader.read(
@@ -140,9 +140,9 @@
     def test_gap_is_detected_and_report_resent(self):
         direction = OneWayLink()
         direction.send(report(online={'i-1': 2}))
-        direction.writer.confirm(direction.reader.holds)
+        direction.writer.confirm(direction.reader.last_number)
         direction.writer.write(report(online={'i-1': 3}), 0, NOW)  # lost
-        direction.writer.confirm(direction.reader.holds + 1)
+        direction.writer.confirm(direction.reader.last_number + 1)
         later = direction.writer.write(report(online={'i-1': 4}), 0, NOW)
         with self.assertRaises(ReportGapError):
             direction.reader.read(later, NOW)
@@ -174,7 +174,7 @@
         bad = ReportChange(node='a', number=1, **fields)
         with self.assertRaises(UnreadableChangeError):
             reader.read(bad, NOW)
-        self.assertEqual(0, reader.holds)
+        self.assertEqual(0, reader.last_number)
 
 
 class FakeProcess:
