--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -13,7 +13,6 @@
 from result import Err
 
 from bendlead_gateway._fleet.claims import Claims
-from bendlead_gateway._fleet.exchanges import Exchanges
 from bendlead_gateway._fleet.links import Link, Links
 from bendlead_gateway._fleet.load_relay import (
     LoadRelay,
@@ -28,6 +27,7 @@
 from bendlead_gateway._fleet.processes import Processes
 from bendlead_gateway._fleet.registration import Registration
 from bendlead_gateway._fleet.report_codec import ReportCodec
+from bendlead_gateway._fleet.report_exchanger import ReportExchanger
 from bendlead_gateway._fleet.survey import CUT_SECONDS, Survey
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
@@ -76,7 +76,7 @@
         self.suspects: Suspects | None = None
         #: Source and sink of updates on engine health, if they are exchanged.
         self.shared_health: SharedHealth | None = None
-        self.exchanges = Exchanges(
+        self.exchanger = ReportExchanger(
             own.hall,
             self.codec,
             self._build_report,
@@ -206,7 +206,7 @@
             peer.pause = self._links.pause(peer.link)
             is_client = self._own.node < node and peer.link is not Link.NONE
             if is_client and (peer.task is None or peer.task.dead):
-                peer.task = gevent.spawn(self.exchanges.talk, peer)
+                peer.task = gevent.spawn(self.exchanger.run, peer)
 
     def _has_updates(self, peer: Peer) -> bool:
         """Return whether an update should be sent to the peer at once."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/exchanges.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_exchanger.py
@@ -26,7 +26,7 @@
 _MAX_BACKOFF_SECONDS = 2.0
 
 
-class Exchanges:
+class ReportExchanger:
     """Client side of the report exchange with each linked peer."""
 
     def __init__(
@@ -44,7 +44,7 @@
         self._on_report = on_report
         self._has_updates = has_updates
 
-    def ask(self, peer: Peer, connection: HttpConnection) -> None:
+    def exchange(self, peer: Peer, connection: HttpConnection) -> None:
         """Exchange reports with a peer, or raise OSError.
 
         Resends the report in full if the peer lacks the one it is based on.
@@ -53,7 +53,7 @@
         if peer.takes_changes and peer.change_codec.writer.must_resend_full:
             self._exchange_once(peer, connection)
 
-    def talk(self, peer: Peer) -> None:
+    def run(self, peer: Peer) -> None:
         """Exchange reports with one peer for as long as it is linked."""
         connection: HttpConnection | None = None
         backoff = _MIN_BACKOFF_SECONDS
@@ -64,7 +64,7 @@
                     connection = HttpConnection(
                         peer.record.address, _TIMEOUT_SECONDS
                     )
-                self.ask(peer, connection)
+                self.exchange(peer, connection)
             except OSError:
                 # PeerTable logs the change of liveness.
                 if connection is not None:
--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -16,10 +16,10 @@
     ReportGapError,
     UnreadableChangeError,
 )
-from bendlead_gateway._fleet.exchanges import Exchanges
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peers import PeerTable
 from bendlead_gateway._fleet.report_codec import CHANGES_PATH, REPORT_PATH
+from bendlead_gateway._fleet.report_exchanger import ReportExchanger
 from bendlead_gateway._http.client import Response, ResponseHead
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
@@ -213,7 +213,7 @@
             lambda _report: None,
         )
         # The tests trigger each exchange themselves.
-        with mock.patch.object(Exchanges, 'talk'):
+        with mock.patch.object(ReportExchanger, 'run'):
             self.peers.reset(
                 [
                     Entry(
@@ -230,7 +230,7 @@
         """Exchange reports with another process."""
         peer = self.peers.peer(other.record.node)
         try:
-            self.peers.exchanges.ask(peer, Connection(other))
+            self.peers.exchanger.exchange(peer, Connection(other))
         except OSError:
             peer.forget_told()
 
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -6,7 +6,7 @@
 
 import gevent
 from bendlead_gateway._entry import EntryNode
-from bendlead_gateway._fleet import exchanges as exchanges_module
+from bendlead_gateway._fleet import report_exchanger
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peers import PeerTable
 from bendlead_gateway._http.server import HttpServer
@@ -158,8 +158,8 @@
         """Its shards would be taken over, and what runs there lost."""
         # All times are thrice as long, so that a busy machine does not decide.
         with (
-            mock.patch.object(exchanges_module, '_TIMEOUT_SECONDS', 1.8),
-            mock.patch.object(exchanges_module, '_MIN_BACKOFF_SECONDS', 0.6),
+            mock.patch.object(report_exchanger, '_TIMEOUT_SECONDS', 1.8),
+            mock.patch.object(report_exchanger, '_MIN_BACKOFF_SECONDS', 0.6),
         ):
             for _repeat in range(3):
                 gevent.sleep(0.1)
