--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from bendlead_gateway._fleet.links import Link, Links
-from bendlead_gateway._fleet.loads import LoadTable, Report
+from bendlead_gateway._fleet.loads import LoadTable, PeerLoad
 from bendlead_gateway._fleet.peer import Peer
 from bendlead_gateway._teams.told import TeamCounts
 from bendlead_gateway.types import EngineId, NodeName, TeamName
@@ -116,7 +116,7 @@
 
     def has_reports_for(self, peer: Peer) -> bool:
         """Return whether there are new reports to relay to a peer."""
-        arrived = self._loads.since(peer.told_until)
+        arrived = self._loads.reported_after(peer.told_until)
         return any(self._wants(peer, node, known) for node, known in arrived)
 
     def receive(self, peer: Peer, told: Sequence[ToldLoad]) -> None:
@@ -141,16 +141,16 @@
 
     def _new_reports(self, peer: Peer) -> list[ToldLoad]:
         told: list[ToldLoad] = []
-        for node, known in self._loads.since(peer.told_until):
+        for node, known in self._loads.reported_after(peer.told_until):
             if len(told) == _MAX_RELAYED_NODES:
                 break
-            peer.told_until = known.arrival
+            peer.told_until = known.sequence
             if self._wants(peer, node, known):
                 peer.knows[node] = known.version
                 told.append(_relayed(node, known))
         return told
 
-    def _wants(self, peer: Peer, node: NodeName, known: Report) -> bool:
+    def _wants(self, peer: Peer, node: NodeName, known: PeerLoad) -> bool:
         receiver = peer.record.node
         if node == receiver or known.age > _MAX_RELAYED_AGE_SECONDS:
             return False
@@ -161,7 +161,7 @@
         return self._links.between(receiver, node) is not Link.CLOSE
 
 
-def _relayed(node: NodeName, known: Report) -> ToldLoad:
+def _relayed(node: NodeName, known: PeerLoad) -> ToldLoad:
     return ToldLoad(
         node=node,
         age_ms=round(known.age * _MS),
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
@@ -6,7 +6,7 @@
 from bendlead_store import clock
 from msgspec import Struct, field
 
-from bendlead_gateway._fleet.sums import FreshSums
+from bendlead_gateway._fleet.recent_sums import RecentSums
 from bendlead_gateway._teams.told import TeamCounts
 from bendlead_gateway.types import EngineId, NodeName
 
@@ -34,34 +34,38 @@
 _NO_TEAMS = TeamCounts()
 
 
-class Report(Struct):
+class PeerLoad(Struct):
     """Requests of a peer as last reported."""
 
     online: Mapping[EngineId, int]
     batch: Mapping[EngineId, int]
-    heard: float
+    reported_at: float
     #: Version of the counts, set by the peer; 0 if it sends none.
     version: int = 0
     #: Sequence number of the counts in this process, in order of arrival.
-    arrival: int = 0
+    sequence: int = 0
     #: Smoothed seconds between reports, direct and relayed.
-    pause: float = 0
+    interval: float = 0
     #: Requests that the peer admitted, by team.
     teams: TeamCounts = _NO_TEAMS
 
     @property
     def quiet(self) -> bool:
         """Whether several reports are overdue."""
-        return self.age > max(_OVERDUE_SECONDS, self.pause * _OVERDUE_INTERVALS)
+        return self.age > max(
+            _OVERDUE_SECONDS, self.interval * _OVERDUE_INTERVALS
+        )
 
     @property
     def age(self) -> float:
         """Seconds since the peer made the report."""
-        return clock.uptime() - self.heard
+        return clock.uptime() - self.reported_at
 
-    def next_pause(self, heard: float) -> float:
+    def next_interval(self, reported_at: float) -> float:
         """Return the interval if the next report is of the given time."""
-        return max(heard - self.heard, self.pause * _INTERVAL_DECAY)
+        return max(
+            reported_at - self.reported_at, self.interval * _INTERVAL_DECAY
+        )
 
 
 class OwnLoad(Struct):
@@ -78,13 +82,13 @@
     def __init__(self) -> None:
         self.own = OwnLoad()
         #: Ordered by arrival.
-        self._reports: dict[NodeName, Report] = {}
-        self._last_arrival = 0
+        self._reports: dict[NodeName, PeerLoad] = {}
+        self._last_sequence = 0
         #: Smoothed seconds until a change of a peer's counts is known here.
         self.delay = 0.0
-        self._online = FreshSums(_EXPIRY_SECONDS)
-        self._batch = FreshSums(_BATCH_EXPIRY_SECONDS)
-        self._overdue: list[Report] = []
+        self._online = RecentSums(_EXPIRY_SECONDS)
+        self._batch = RecentSums(_BATCH_EXPIRY_SECONDS)
+        self._overdue: list[PeerLoad] = []
         self._next_check = 0.0
 
     def start_online(self, engine: EngineId) -> None:
@@ -109,37 +113,48 @@
         teams: TeamCounts = _NO_TEAMS,
     ) -> None:
         """Take a peer's counts, which are of some seconds ago (age)."""
-        heard = clock.uptime() - age
+        reported_at = clock.uptime() - age
         known = self.latest(node)
-        if known and (known.version, known.heard) >= (version, heard):
+        if known and (known.version, known.reported_at) >= (
+            version,
+            reported_at,
+        ):
             return
         if known in self._overdue:
             self._next_check = 0
         if known:
-            self._observe_delay(heard - known.heard, age)
-        pause = known.next_pause(heard) if known else 0
+            self._observe_delay(reported_at - known.reported_at, age)
+        interval = known.next_interval(reported_at) if known else 0
         if known and version and known.version == version:
-            known.heard = heard
-            known.pause = pause
+            known.reported_at = reported_at
+            known.interval = interval
         else:
             self._reports.pop(node, None)
-            self._last_arrival += 1
-            self._reports[node] = Report(
-                online, batch, heard, version, self._last_arrival, pause, teams
+            self._last_sequence += 1
+            self._reports[node] = PeerLoad(
+                online,
+                batch,
+                reported_at,
+                version,
+                self._last_sequence,
+                interval,
+                teams,
             )
-        self._online.put(node, online, heard)
-        self._batch.put(node, batch, heard)
+        self._online.put(node, online, reported_at)
+        self._batch.put(node, batch, reported_at)
 
-    def since(self, arrival: int) -> Iterator[tuple[NodeName, Report]]:
+    def reported_after(
+        self, sequence: int
+    ) -> Iterator[tuple[NodeName, PeerLoad]]:
         """List the reports after a sequence number, oldest first."""
-        newer: list[tuple[NodeName, Report]] = []
+        newer: list[tuple[NodeName, PeerLoad]] = []
         for node, report in reversed(self._reports.items()):
-            if report.arrival <= arrival:
+            if report.sequence <= sequence:
                 break
             newer.append((node, report))
         return reversed(newer)
 
-    def latest(self, node: NodeName) -> Report | None:
+    def latest(self, node: NodeName) -> PeerLoad | None:
         """Return the last report of a peer unless it has expired."""
         known = self._reports.get(node)
         if known is None or known.age > _EXPIRY_SECONDS:
@@ -161,7 +176,7 @@
         """Count the batch items on an engine."""
         return self.own.batch[engine] + self._batch.total(engine)
 
-    def item_owners(self) -> dict[NodeName, Report]:
+    def item_owners(self) -> dict[NodeName, PeerLoad]:
         """List the peers whose items may occupy slots."""
         return {
             node: report
@@ -169,7 +184,7 @@
             if report.batch and report.age < _BATCH_EXPIRY_SECONDS
         }
 
-    def unstoppable(self, engine: EngineId) -> int:
+    def non_preemptible(self, engine: EngineId) -> int:
         """Count the items that can't be preempted for online requests."""
         now = clock.uptime()
         if now >= self._next_check:
@@ -185,7 +200,7 @@
         self._batch.drop(node)
         self._next_check = 0
 
-    def _observe_delay(self, pause: float, age: float) -> None:
+    def _observe_delay(self, interval: float, age: float) -> None:
         """Update the delay; on average counts change in mid-interval."""
-        delay = min(pause, _MAX_INTERVAL_SECONDS) / 2 + age
+        delay = min(interval, _MAX_INTERVAL_SECONDS) / 2 + age
         self.delay += (delay - self.delay) * _DELAY_SMOOTHING
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -139,7 +139,7 @@
                 continue
             known = self._loads.latest(node)
             if known is not None:
-                peer.heard_of = known.heard
+                peer.heard_of = known.reported_at
                 heard += 1
             entries += max(peer.heard_of, peer.listed) > cut
         return Group(heard, entries)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/sums.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/recent_sums.py
@@ -11,7 +11,7 @@
 _NO_COUNTS: Mapping[EngineId, int] = {}
 
 
-class FreshSums(Struct):
+class RecentSums(Struct):
     """Sums of each engine's counts over the unexpired reports of all peers.
 
     Reading a sum takes constant time; storing a report takes time in proportion
--- a/tests/test_gateway_loads.py
+++ b/tests/test_gateway_loads.py
@@ -45,7 +45,7 @@
                 clock.return_value = reported_at
                 table.report('owner-1', {}, {'i-1': 3})
             clock.return_value += age
-            self.assertEqual(counted, table.unstoppable('i-1'))
+            self.assertEqual(counted, table.non_preemptible('i-1'))
 
     @parameterized.expand(
         [
