--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/links.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/links.py
@@ -69,7 +69,7 @@
         default_factory=dict
     )
 
-    def lay(self, records: Iterable[PeerRecord]) -> None:
+    def rebuild(self, records: Iterable[PeerRecord]) -> None:
         """Replace all links by those between these processes."""
         halls: dict[DataHall, list[PeerRecord]] = {}
         for record in records:
@@ -97,7 +97,7 @@
             return Link.WATCH
         return Link.NONE
 
-    def carries(self, one: NodeName, other: NodeName, node: NodeName) -> bool:
+    def relays(self, one: NodeName, other: NodeName, node: NodeName) -> bool:
         """Return whether one process relays reports about a node to another.
 
         Within a hall all reports are relayed. Another hall gets them from the
@@ -115,7 +115,7 @@
             return sender.index in relays
         return not relays and subject.hall != receiver.hall
 
-    def pause(self, link: Link) -> float:
+    def interval(self, link: Link) -> float:
         """Return the seconds between two exchanges over a link."""
         if link is Link.CLOSE and not self._is_full_mesh:
             return _CLOSE_SECONDS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -156,7 +156,7 @@
             return False
         if peer.knows.get(node, -1) >= known.version:
             return False
-        if not self._links.carries(self._own, receiver, node):
+        if not self._links.relays(self._own, receiver, node):
             return False
         return self._links.between(receiver, node) is not Link.CLOSE
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -200,10 +200,10 @@
         In each pair the process whose name sorts first is the client.
         """
         records = [peer.record for peer in self._peers.values()]
-        self._links.lay([self._own, *records])
+        self._links.rebuild([self._own, *records])
         for node, peer in self._peers.items():
             peer.link = self._links.between(self._own.node, node)
-            peer.pause = self._links.pause(peer.link)
+            peer.pause = self._links.interval(peer.link)
             is_client = self._own.node < node and peer.link is not Link.NONE
             if is_client and (peer.task is None or peer.task.dead):
                 peer.task = gevent.spawn(self.exchanger.run, peer)
--- a/testing/src/bendlead_testing/report_replay.py
+++ b/testing/src/bendlead_testing/report_replay.py
@@ -107,7 +107,7 @@
         self._changes = changes
         self._links = Links()
         records = [_record(number, halls) for number in range(processes)]
-        self._links.lay(records)
+        self._links.rebuild(records)
         self._processes = [_Process(record, self._links) for record in records]
         self._due: list[tuple[float, int, int]] = []
         self._cut_halls: set[str] = set()
@@ -159,7 +159,7 @@
         other.peers[one.record.node] = Peer(one.record, link=link)
         if link is Link.NONE:
             return
-        start = _START + self._rng.random() * self._links.pause(link)
+        start = _START + self._rng.random() * self._links.interval(link)
         heapq.heappush(self._due, (start, first, second))
 
     def _run_until(self, moment: float) -> None:
@@ -167,7 +167,7 @@
             self._now, first, second = heapq.heappop(self._due)
             self._change_until(self._now)
             self._exchange(self._processes[first], self._processes[second])
-            pause = self._links.pause(Link.CLOSE)
+            pause = self._links.interval(Link.CLOSE)
             heapq.heappush(self._due, (self._now + pause, first, second))
         self._change_until(moment)
         self._now = moment
--- a/tests/test_gateway_links.py
+++ b/tests/test_gateway_links.py
@@ -29,7 +29,7 @@
 def close_links(records: list[PeerRecord]) -> dict[NodeName, list[NodeName]]:
     """Return the close links of each process."""
     links = Links()
-    links.lay(records)
+    links.rebuild(records)
     names = [record.node for record in records]
     return {
         one: [
@@ -80,10 +80,10 @@
     def test_both_sides_agree(self):
         records = fleet((11, 1), (12, 1), (5, 1))
         links = Links()
-        links.lay(records)
+        links.rebuild(records)
         # The order of the records must not matter.
         other_links = Links()
-        other_links.lay(records[::-1])
+        other_links.rebuild(records[::-1])
         for one in records:
             for other in records:
                 self.assertIs(
@@ -102,8 +102,8 @@
     )
     def test_interval_over_a_close_link(self, _name, halls, pause):
         links = Links()
-        links.lay(fleet(*halls))
-        self.assertAlmostEqual(pause, links.pause(Link.CLOSE))
+        links.rebuild(fleet(*halls))
+        self.assertAlmostEqual(pause, links.interval(Link.CLOSE))
 
     def test_small_fleets_are_a_full_mesh(self):
         records = fleet((5, 1), (5, 1), (4, 1))
@@ -121,7 +121,7 @@
     def test_owners_are_linked_with_all(self, one, other, expected):
         records = fleet((20, 1), (20, 1), (20, 1), (20, 1), (20, 1))
         links = Links()
-        links.lay(records)
+        links.rebuild(records)
         found = links.between(NodeName(one), NodeName(other))
         if expected is Link.WATCH:
             self.assertIn(found, {Link.WATCH, Link.CLOSE})
--- a/tests/test_gateway_news.py
+++ b/tests/test_gateway_news.py
@@ -69,7 +69,7 @@
             )
             for number in range(entries)
         ]
-        self.links.lay(records)
+        self.links.rebuild(records)
         self.processes = [Process(record, self.links) for record in records]
         self.due: list[tuple[float, int, int]] = []
         for first in range(entries):
@@ -85,7 +85,7 @@
             return
         one.peers[other.record.node] = Peer(other.record, link=link)
         other.peers[one.record.node] = Peer(one.record, link=link)
-        start = START + self.rng.random() * self.links.pause(link)
+        start = START + self.rng.random() * self.links.interval(link)
         heapq.heappush(self.due, (start, first, second))
 
     def run_until(self, moment: float) -> None:
@@ -93,7 +93,7 @@
         while self.due[0][0] <= moment:
             self.now, first, second = heapq.heappop(self.due)
             self._exchange(self.processes[first], self.processes[second])
-            pause = self.links.pause(Link.CLOSE)
+            pause = self.links.interval(Link.CLOSE)
             heapq.heappush(self.due, (self.now + pause, first, second))
         self.now = moment
 
