--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -106,7 +106,7 @@
     def reports_for(self, peer: Peer) -> list[ToldLoad]:
         """Return the reports that a peer asked for and those new to it."""
         told: list[ToldLoad] = []
-        for name in peer.missed[:_MAX_REQUESTED_NODES]:
+        for name in peer.missing_nodes[:_MAX_REQUESTED_NODES]:
             known = self._loads.latest(NodeName(name))
             if known is not None and known.age < _MAX_RELAYED_AGE_SECONDS:
                 told.append(_relayed(NodeName(name), known))
@@ -116,7 +116,7 @@
 
     def has_reports_for(self, peer: Peer) -> bool:
         """Return whether there are new reports to relay to a peer."""
-        arrived = self._loads.reported_after(peer.told_until)
+        arrived = self._loads.reported_after(peer.relayed_until)
         return any(self._wants(peer, node, known) for node, known in arrived)
 
     def receive(self, peer: Peer, told: Sequence[ToldLoad]) -> None:
@@ -126,7 +126,7 @@
             node = NodeName(load.node)
             if node == self._own:
                 continue
-            peer.knows[node] = load.version
+            peer.known_versions[node] = load.version
             teams = team_counts(load)
             age = load.age_ms / _MS
             self._loads.report(
@@ -141,12 +141,12 @@
 
     def _new_reports(self, peer: Peer) -> list[ToldLoad]:
         told: list[ToldLoad] = []
-        for node, known in self._loads.reported_after(peer.told_until):
+        for node, known in self._loads.reported_after(peer.relayed_until):
             if len(told) == _MAX_RELAYED_NODES:
                 break
-            peer.told_until = known.sequence
+            peer.relayed_until = known.sequence
             if self._wants(peer, node, known):
-                peer.knows[node] = known.version
+                peer.known_versions[node] = known.version
                 told.append(_relayed(node, known))
         return told
 
@@ -154,7 +154,7 @@
         receiver = peer.record.node
         if node == receiver or known.age > _MAX_RELAYED_AGE_SECONDS:
             return False
-        if peer.knows.get(node, -1) >= known.version:
+        if peer.known_versions.get(node, -1) >= known.version:
             return False
         if not self._links.relays(self._own, receiver, node):
             return False
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
@@ -14,7 +14,7 @@
 #: A peer without a report for this long counts as stopped.
 _DOWN_SECONDS = 0.9
 #: An owner without a report for this long is probed for a connection.
-QUIET_SECONDS = 0.2
+PROBE_AFTER_SECONDS = 0.2
 #: After this long without a report, other peers are asked for the loads.
 _LOADS_OVERDUE_SECONDS = 0.4
 #: Missed exchanges in a row after which each of these applies.
@@ -28,43 +28,43 @@
 
     record: PeerRecord
     report: NodeReport | None = None
-    heard: float = 0
+    last_report_at: float = 0
     task: gevent.Greenlet | None = None
     #: Nodes whose reports the peer does not receive.
-    missed: Sequence[str] = ()
-    listed: float = field(default_factory=clock.uptime)
+    missing_nodes: Sequence[str] = ()
+    listed_at: float = field(default_factory=clock.uptime)
     #: When its counts were last received, directly or relayed.
-    heard_of: float = 0
+    counts_received_at: float = 0
     #: Kind of link with this process, and seconds between two exchanges.
     link: Link = Link.NONE
-    pause: float = 0
+    interval: float = 0
     #: Part of the last report to the peer whose changes are sent at once.
-    told_state: object = None
+    sent_state: object = None
     #: Versions of other nodes' counts that the peer has.
-    knows: dict[NodeName, int] = field(default_factory=dict)
+    known_versions: dict[NodeName, int] = field(default_factory=dict)
     #: Sequence number of the last load that was relayed to the peer.
-    told_until: int = 0
+    relayed_until: int = 0
     #: Number of the last update on suspects that was sent to the peer.
-    suspects_told: int = 0
+    suspects_sent: int = 0
     #: Whether the peer accepts reports as changes on this connection.
     takes_changes: bool = False
     #: Codecs for reports exchanged as changes.
     _change_link: ChangeCodec | None = None
     #: Number of the last update on engine health that was sent to the peer.
-    evidence_told: int = 0
+    evidence_sent: int = 0
 
-    def forget_told(self) -> None:
+    def reset_exchange(self) -> None:
         """Reset the exchange: the peer may now run another version."""
-        self.forget_news()
+        self.resend_updates()
         self.takes_changes = False
         self._change_link = None
 
-    def forget_news(self) -> None:
+    def resend_updates(self) -> None:
         """Send all updates again, since the last ones may be lost."""
-        self.knows.clear()
-        self.told_until = 0
-        self.suspects_told = 0
-        self.evidence_told = 0
+        self.known_versions.clear()
+        self.relayed_until = 0
+        self.suspects_sent = 0
+        self.evidence_sent = 0
 
     @property
     def change_codec(self) -> ChangeCodec:
@@ -74,22 +74,22 @@
         return self._change_link
 
     @property
-    def silent(self) -> bool:
+    def is_down(self) -> bool:
         """Whether the peer counts as stopped."""
-        bound = max(_DOWN_SECONDS, _DOWN_EXCHANGES * self.pause)
-        return clock.uptime() - self.heard > bound
+        bound = max(_DOWN_SECONDS, _DOWN_EXCHANGES * self.interval)
+        return clock.uptime() - self.last_report_at > bound
 
     @property
-    def quiet(self) -> bool:
+    def needs_probe(self) -> bool:
         """Whether the peer's process should be probed."""
-        bound = max(QUIET_SECONDS, _PROBE_EXCHANGES * self.pause)
-        return clock.uptime() - self.heard > bound
+        bound = max(PROBE_AFTER_SECONDS, _PROBE_EXCHANGES * self.interval)
+        return clock.uptime() - self.last_report_at > bound
 
     @property
-    def unheard(self) -> bool:
+    def loads_overdue(self) -> bool:
         """Whether reports over a close link are overdue."""
         bound = max(
-            _LOADS_OVERDUE_SECONDS, _LOADS_OVERDUE_EXCHANGES * self.pause
+            _LOADS_OVERDUE_SECONDS, _LOADS_OVERDUE_EXCHANGES * self.interval
         )
-        overdue = clock.uptime() - self.heard > bound
+        overdue = clock.uptime() - self.last_report_at > bound
         return overdue and self.link is Link.CLOSE
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -22,7 +22,7 @@
     urgent_state,
 )
 from bendlead_gateway._fleet.loads import LoadTable
-from bendlead_gateway._fleet.peer import QUIET_SECONDS, Peer
+from bendlead_gateway._fleet.peer import PROBE_AFTER_SECONDS, Peer
 from bendlead_gateway._fleet.probe import refuses_connections
 from bendlead_gateway._fleet.processes import Processes
 from bendlead_gateway._fleet.registration import Registration
@@ -139,9 +139,9 @@
                 continue
             known = self._loads.latest(node)
             if known is not None:
-                peer.heard_of = known.reported_at
+                peer.counts_received_at = known.reported_at
                 heard += 1
-            entries += max(peer.heard_of, peer.listed) > cut
+            entries += max(peer.counts_received_at, peer.listed_at) > cut
         return Group(heard, entries)
 
     def strained_in_hall(self) -> list[bool]:
@@ -158,7 +158,9 @@
         """Return the seconds since each peer's report, for the state dump."""
         now = clock.uptime()
         return {
-            node: round(now - peer.heard, 2) if peer.heard else -1
+            node: round(now - peer.last_report_at, 2)
+            if peer.last_report_at
+            else -1
             for node, peer in self._peers.items()
         }
 
@@ -169,11 +171,11 @@
         merely unreachable counts until its silence exceeds the limit.
         """
         while True:
-            gevent.sleep(QUIET_SECONDS / 2)
+            gevent.sleep(PROBE_AFTER_SECONDS / 2)
             for peer in self._live():
                 owner = peer.record.role is NodeRole.OWNER
-                if owner and peer.quiet and _has_ended(peer.record):
-                    peer.heard = 0
+                if owner and peer.needs_probe and _has_ended(peer.record):
+                    peer.last_report_at = 0
                     self._loads.forget(peer.record.node)
                     self._log.event('peer-ended', peer=peer.record.node)
 
@@ -203,21 +205,21 @@
         self._links.rebuild([self._own, *records])
         for node, peer in self._peers.items():
             peer.link = self._links.between(self._own.node, node)
-            peer.pause = self._links.interval(peer.link)
+            peer.interval = self._links.interval(peer.link)
             is_client = self._own.node < node and peer.link is not Link.NONE
             if is_client and (peer.task is None or peer.task.dead):
                 peer.task = gevent.spawn(self.exchanger.run, peer)
 
     def _has_updates(self, peer: Peer) -> bool:
         """Return whether an update should be sent to the peer at once."""
-        if peer.told_state != urgent_state(self._report()):
+        if peer.sent_state != urgent_state(self._report()):
             return True
-        if self.suspects and self.suspects.news(peer.suspects_told)[1]:
+        if self.suspects and self.suspects.news(peer.suspects_sent)[1]:
             return True
         if peer.link is not Link.CLOSE:
             return False
         shared = self.shared_health
-        if shared and shared.updates_after(peer.evidence_told)[1]:
+        if shared and shared.news(peer.evidence_sent)[1]:
             return True
         return self._relay.has_reports_for(peer)
 
@@ -227,18 +229,16 @@
         report.takes_changes = True
         self._relay.set_version(report)
         if peer is not None:
-            peer.told_state = urgent_state(report)
+            peer.sent_state = urgent_state(report)
             report.told = self._relay.reports_for(peer)
             if self.suspects:
-                peer.suspects_told, report.suspects = self.suspects.news(
-                    peer.suspects_told
+                peer.suspects_sent, report.suspects = self.suspects.news(
+                    peer.suspects_sent
                 )
             report.missed = self._survey.missed_by(peer.record.node)
             shared = self.shared_health
             if shared and peer.link is Link.CLOSE:
-                peer.evidence_told, news = shared.updates_after(
-                    peer.evidence_told
-                )
+                peer.evidence_sent, news = shared.news(peer.evidence_sent)
                 report.evidence = news
             if peer.report is not None and peer.report.asks_levels:
                 report.levels = self._levels()
@@ -250,15 +250,15 @@
         if peer is None:
             # Its record has not arrived from the store yet.
             return
-        if peer.silent:
+        if peer.is_down:
             self._log.event('peer-heard', peer=node)
             # The process may have restarted and lost its state.
-            peer.suspects_told = 0
-            peer.evidence_told = 0
+            peer.suspects_sent = 0
+            peer.evidence_sent = 0
         peer.report = report
         peer.takes_changes = report.takes_changes
-        peer.heard = clock.uptime()
-        peer.missed = report.missed
+        peer.last_report_at = clock.uptime()
+        peer.missing_nodes = report.missed
         self._relay.receive(peer, report.told)
         if self.suspects:
             self.suspects.hear(report.suspects)
@@ -271,10 +271,10 @@
             version=report.version,
             teams=teams,
         )
-        self._on_teams(node, teams, report.version, peer.heard)
+        self._on_teams(node, teams, report.version, peer.last_report_at)
 
     def _live(self) -> list[Peer]:
-        return [peer for peer in self._peers.values() if not peer.silent]
+        return [peer for peer in self._peers.values() if not peer.is_down]
 
 
 def _has_ended(record: PeerRecord) -> bool:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
@@ -43,7 +43,7 @@
         found = [
             peer.record
             for peer in self._peers.values()
-            if not peer.silent and _reaches_store(peer.report)
+            if not peer.is_down and _reaches_store(peer.report)
         ]
         near = [one for one in found if one.hall == self._own.hall]
         return near or found
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_codec.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_codec.py
@@ -95,7 +95,7 @@
         """
         if not peer.change_codec.writer.confirm(change.holds):
             # The last report to the peer may be lost.
-            peer.forget_news()
+            peer.resend_updates()
         try:
             return peer.change_codec.reader.read(change, clock.uptime())
         except ReportGapError as gap:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_exchanger.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_exchanger.py
@@ -20,7 +20,7 @@
 
 _TIMEOUT_SECONDS = 0.6
 #: Longest interval between exchanges with a peer in another data hall while
-#: there are no updates for it. Must stay below ``QUIET_SECONDS``.
+#: there are no updates for it. Must stay below ``PROBE_AFTER_SECONDS``.
 _IDLE_SECONDS = 0.12
 _MIN_BACKOFF_SECONDS = 0.2
 _MAX_BACKOFF_SECONDS = 2.0
@@ -70,7 +70,7 @@
                 if connection is not None:
                     connection.close()
                 connection = None
-                peer.forget_told()
+                peer.reset_exchange()
                 if not established:
                     gevent.sleep(backoff * (0.5 + random.random()))
                     backoff = min(_MAX_BACKOFF_SECONDS, backoff * 2)
@@ -86,11 +86,11 @@
         """Wait until there is an update for the peer or the interval ends."""
         idle = 0.0 if peer.record.hall == self._hall else _IDLE_SECONDS
         until = clock.uptime() + idle
-        gevent.sleep(peer.pause)
-        while until - clock.uptime() > peer.pause / 2:
+        gevent.sleep(peer.interval)
+        while until - clock.uptime() > peer.interval / 2:
             if self._has_updates(peer):
                 break
-            gevent.sleep(peer.pause)
+            gevent.sleep(peer.interval)
 
     def _exchange_once(self, peer: Peer, connection: HttpConnection) -> None:
         sent = self._codec.encode(peer, self._build_report(peer))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/survey.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/survey.py
@@ -60,7 +60,7 @@
         near = [
             node
             for node, peer in self._peers.items()
-            if peer.link is Link.CLOSE and not peer.silent
+            if peer.link is Link.CLOSE and not peer.is_down
         ]
         chosen = random.sample(near, min(_WITNESSES, len(near)))
         missed = list(self._missed(now))
@@ -75,7 +75,10 @@
             if peer.link is not Link.CLOSE:
                 if self._is_overdue(peer):
                     yield node
-            elif peer.unheard and max(peer.heard, peer.listed) > cut:
+            elif (
+                peer.loads_overdue
+                and max(peer.last_report_at, peer.listed_at) > cut
+            ):
                 yield node
 
     def _is_overdue(self, peer: Peer) -> bool:
--- a/testing/src/bendlead_testing/report_replay.py
+++ b/testing/src/bendlead_testing/report_replay.py
@@ -79,8 +79,8 @@
 
     def hear(self, report: NodeReport) -> None:
         peer = self.peers[NodeName(report.node)]
-        peer.heard = loads.clock.uptime()
-        peer.missed = report.missed
+        peer.last_report_at = loads.clock.uptime()
+        peer.missing_nodes = report.missed
         self.relay.receive(peer, report.told)
         self.loads.report(
             NodeName(report.node),
--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -232,7 +232,7 @@
         try:
             self.peers.exchanger.exchange(peer, Connection(other))
         except OSError:
-            peer.forget_told()
+            peer.reset_exchange()
 
 
 class Connection:
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -36,8 +36,8 @@
 
 
 def _peer_counts_as_alive():
-    peer = Peer(_PEER, heard=clock.uptime())
-    return lambda: not peer.silent
+    peer = Peer(_PEER, last_report_at=clock.uptime())
+    return lambda: not peer.is_down
 
 
 def _report_counts():
