--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
@@ -30,7 +30,7 @@
 _ANSWERED = 'answered_ms'
 _FAILED = 'failed_ms'
 
-_UNREADABLE = (LookupError, TypeError, ValueError, msgspec.ValidationError)
+_DECODE_ERRORS = (LookupError, TypeError, ValueError, msgspec.ValidationError)
 
 #: Fields of a report, or of a relayed load, by name.
 Fields = dict[str, Any]
@@ -104,7 +104,7 @@
         return self._needs_full
 
     def confirm(self, number: int) -> bool:
-        """Take the peer's acknowledgement; return whether it is the last."""
+        """Take the peer's acknowledgement; return whether it is current."""
         self._confirmed = number == self._number and bool(self._names)
         self._needs_full = not self._confirmed
         return self._confirmed
@@ -201,7 +201,7 @@
             self._restart()
         try:
             report = self._read(change, now)
-        except _UNREADABLE as error:
+        except _DECODE_ERRORS as error:
             self._restart()
             raise UnreadableChangeError(str(error)) from error
         self._number = change.number
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -21,7 +21,7 @@
 
 
 def ignore_team_counts(
-    node: NodeName, told: TeamCounts, version: int, heard: float
+    node: NodeName, counts: TeamCounts, version: int, reported_at: float
 ) -> None:
     """Ignore counts by team, in processes that admit no clients."""
 
@@ -105,24 +105,26 @@
 
     def reports_for(self, peer: Peer) -> list[ToldLoad]:
         """Return the reports that a peer asked for and those new to it."""
-        told: list[ToldLoad] = []
+        relayed: list[ToldLoad] = []
         for name in peer.missing_nodes[:_MAX_REQUESTED_NODES]:
             known = self._loads.latest(NodeName(name))
             if known is not None and known.age < _MAX_RELAYED_AGE_SECONDS:
-                told.append(_relayed(NodeName(name), known))
+                relayed.append(_to_relayed_load(NodeName(name), known))
         if peer.link is Link.CLOSE:
-            told.extend(self._new_reports(peer))
-        return told
+            relayed.extend(self._new_reports(peer))
+        return relayed
 
     def has_reports_for(self, peer: Peer) -> bool:
         """Return whether there are new reports to relay to a peer."""
         arrived = self._loads.reported_after(peer.relayed_until)
-        return any(self._wants(peer, node, known) for node, known in arrived)
+        return any(
+            self._should_relay(peer, node, known) for node, known in arrived
+        )
 
-    def receive(self, peer: Peer, told: Sequence[ToldLoad]) -> None:
+    def receive(self, peer: Peer, relayed: Sequence[ToldLoad]) -> None:
         """Take relayed reports; older ones than those known are ignored."""
         now = clock.uptime()
-        for load in told:
+        for load in relayed:
             node = NodeName(load.node)
             if node == self._own:
                 continue
@@ -140,17 +142,19 @@
             self._on_teams(node, teams, load.version, now - age)
 
     def _new_reports(self, peer: Peer) -> list[ToldLoad]:
-        told: list[ToldLoad] = []
+        relayed: list[ToldLoad] = []
         for node, known in self._loads.reported_after(peer.relayed_until):
-            if len(told) == _MAX_RELAYED_NODES:
+            if len(relayed) == _MAX_RELAYED_NODES:
                 break
             peer.relayed_until = known.sequence
-            if self._wants(peer, node, known):
+            if self._should_relay(peer, node, known):
                 peer.known_versions[node] = known.version
-                told.append(_relayed(node, known))
-        return told
+                relayed.append(_to_relayed_load(node, known))
+        return relayed
 
-    def _wants(self, peer: Peer, node: NodeName, known: PeerLoad) -> bool:
+    def _should_relay(
+        self, peer: Peer, node: NodeName, known: PeerLoad
+    ) -> bool:
         receiver = peer.record.node
         if node == receiver or known.age > _MAX_RELAYED_AGE_SECONDS:
             return False
@@ -161,7 +165,7 @@
         return self._links.between(receiver, node) is not Link.CLOSE
 
 
-def _relayed(node: NodeName, known: PeerLoad) -> ToldLoad:
+def _to_relayed_load(node: NodeName, known: PeerLoad) -> ToldLoad:
     return ToldLoad(
         node=node,
         age_ms=round(known.age * _MS),
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
@@ -146,19 +146,19 @@
         )
         return same < _MAX_CONFIRMATIONS
 
-    def _accept(self, witness: NodeName, told: ToldPace, now: float) -> bool:
+    def _accept(self, witness: NodeName, pace: ToldPace, now: float) -> bool:
         """Take one finding; return whether it is plausible."""
-        gap = told.gap_us / _US
+        gap = pace.gap_us / _US
         plausible = (
-            LEAST_GAP <= gap <= MOST_GAP and 0 < told.streams <= _MAX_STREAMS
+            LEAST_GAP <= gap <= MOST_GAP and 0 < pace.streams <= _MAX_STREAMS
         )
-        engine = self._engines.named(EngineId(told.engine))
+        engine = self._engines.named(EngineId(pace.engine))
         if not plausible or engine is None:
             return False
-        finding = Finding(gap, told.streams, now)
+        finding = Finding(gap, pace.streams, now)
         # It may be of an earlier incarnation of the engine.
-        same = told.born == engine.born
-        if same and self._speeds.add_peer_estimate(engine, witness, finding):
+        same = pace.born == engine.born
+        if same and self._speeds.hear(engine, witness, finding):
             self.counts['heard'] += 1
         return True
 
@@ -169,9 +169,9 @@
     def _schedule_all(self) -> None:
         """Send all findings again, for a peer that may have restarted."""
         for engine in self._engines.all():
-            told = self._speeds.last_sent(engine)
-            if told is not None:
-                self._schedule(engine, told)
+            finding = self._speeds.told(engine)
+            if finding is not None:
+                self._schedule(engine, finding)
 
     def _log_uneven(self) -> None:
         """Log services whose engines begin or cease to differ in speed."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
@@ -49,7 +49,7 @@
     #: Whether the peer accepts reports as changes on this connection.
     takes_changes: bool = False
     #: Codecs for reports exchanged as changes.
-    _change_link: ChangeCodec | None = None
+    _change_codec: ChangeCodec | None = None
     #: Number of the last update on engine health that was sent to the peer.
     evidence_sent: int = 0
 
@@ -57,7 +57,7 @@
         """Reset the exchange: the peer may now run another version."""
         self.resend_updates()
         self.takes_changes = False
-        self._change_link = None
+        self._change_codec = None
 
     def resend_updates(self) -> None:
         """Send all updates again, since the last ones may be lost."""
@@ -69,9 +69,9 @@
     @property
     def change_codec(self) -> ChangeCodec:
         """Codecs for changes, created on first use."""
-        if self._change_link is None:
-            self._change_link = ChangeCodec()
-        return self._change_link
+        if self._change_codec is None:
+            self._change_codec = ChangeCodec()
+        return self._change_codec
 
     @property
     def is_down(self) -> bool:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -110,7 +110,7 @@
         return self.codec.encode_full(peer, self._build_report(peer))
 
     def exchange_changes(self, body: bytes) -> bytes:
-        """Take a peer's report as changes and return the own one so."""
+        """Take a peer's report and return the own one, both as changes."""
         change = self.codec.decode_change(body)
         peer = self._peers.get(NodeName(change.node))
         report = self.codec.apply(peer, change) if peer else None
@@ -131,18 +131,18 @@
         """Count the entries that currently report, and all there may be."""
         if not self._listed:
             return Group(1, _ASSUMED_ENTRIES)
-        heard = 1
+        reporting = 1
         entries = 1
-        cut = clock.uptime() - CUT_SECONDS
+        oldest = clock.uptime() - CUT_SECONDS
         for node, peer in self._peers.items():
             if peer.record.role is not NodeRole.ENTRY:
                 continue
             known = self._loads.latest(node)
             if known is not None:
                 peer.counts_received_at = known.reported_at
-                heard += 1
-            entries += max(peer.counts_received_at, peer.listed_at) > cut
-        return Group(heard, entries)
+                reporting += 1
+            entries += max(peer.counts_received_at, peer.listed_at) > oldest
+        return Group(reporting, entries)
 
     def strained_in_hall(self) -> list[bool]:
         """Return the strained flag of each live entry of this hall."""
@@ -238,8 +238,8 @@
             report.missed = self._survey.missed_by(peer.record.node)
             shared = self.shared_health
             if shared and peer.link is Link.CLOSE:
-                peer.evidence_sent, news = shared.news(peer.evidence_sent)
-                report.evidence = news
+                peer.evidence_sent, updates = shared.news(peer.evidence_sent)
+                report.evidence = updates
             if peer.report is not None and peer.report.asks_levels:
                 report.levels = self._levels()
         return report
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/recent_sums.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/recent_sums.py
@@ -24,12 +24,12 @@
     _counts: dict[NodeName, Mapping[EngineId, int]] = field(
         default_factory=dict
     )
-    _received: dict[NodeName, float] = field(default_factory=dict)
+    _reported_at: dict[NodeName, float] = field(default_factory=dict)
     #: No counts expire before this time.
     _next_expiry: float = math.inf
 
     def put(
-        self, node: NodeName, counts: Mapping[EngineId, int], heard: float
+        self, node: NodeName, counts: Mapping[EngineId, int], reported_at: float
     ) -> None:
         """Replace the counts of a peer."""
         known = self._counts.get(node, _NO_COUNTS)
@@ -38,13 +38,13 @@
             for engine, count in counts.items():
                 self._totals[engine] = self._totals.get(engine, 0) + count
         self._counts[node] = counts
-        self._received[node] = heard
-        self._next_expiry = min(self._next_expiry, heard + self.seconds)
+        self._reported_at[node] = reported_at
+        self._next_expiry = min(self._next_expiry, reported_at + self.seconds)
 
     def drop(self, node: NodeName) -> None:
         """Remove the counts of a peer."""
         self._subtract(self._counts.pop(node, _NO_COUNTS))
-        self._received.pop(node, None)
+        self._reported_at.pop(node, None)
 
     def total(self, engine: EngineId) -> int:
         """Return the sum of the counts of an engine."""
@@ -64,9 +64,9 @@
     def _remove_expired(self, now: float) -> None:
         """Remove expired counts."""
         oldest = now - self.seconds
-        for node, heard in list(self._received.items()):
-            if heard <= oldest:
+        for node, reported_at in list(self._reported_at.items()):
+            if reported_at <= oldest:
                 self.drop(node)
         self._next_expiry = (
-            min(self._received.values(), default=math.inf) + self.seconds
+            min(self._reported_at.values(), default=math.inf) + self.seconds
         )
--- a/testing/src/bendlead_testing/report_replay.py
+++ b/testing/src/bendlead_testing/report_replay.py
@@ -31,23 +31,23 @@
 _HEADER_BYTES = 150
 
 
-class Figures(Struct):
+class ReplayResults(Struct):
     """Results of a simulation; between halls unless named otherwise."""
 
-    bytes_between: int = 0
-    bytes_within: int = 0
+    bytes_between_halls: int = 0
+    bytes_within_halls: int = 0
     exchanges: int = 0
-    told: int = 0
+    relayed: int = 0
     #: Seconds for which a process's view of another has been outdated.
     ages: list[float] = field(default_factory=list)
-    far_ages: list[float] = field(default_factory=list)
+    other_hall_ages: list[float] = field(default_factory=list)
     #: Processor seconds spent on building and receiving reports.
-    busy: float = 0
+    cpu_seconds: float = 0
 
 
-def part_below(ages: Sequence[float], part: float) -> float:
+def quantile(ages: Sequence[float], share: float) -> float:
     """Return the age below which the given share of all ages is."""
-    return sorted(ages)[int(len(ages) * part)]
+    return sorted(ages)[int(len(ages) * share)]
 
 
 class _Process:
@@ -60,7 +60,7 @@
         self.peers: dict[NodeName, Peer] = {}
         self.survey = Survey(record.hall, self.peers, self.loads)
         #: Times at which its counts changed.
-        self.changed: list[float] = []
+        self.change_times: list[float] = []
 
     def report_to(self, peer: Peer) -> NodeReport:
         own = self.loads.own
@@ -70,14 +70,14 @@
             leaving=False,
             online=dict(+own.online),
             life=1,
-            teams={_TEAM: len(self.changed)},
+            teams={_TEAM: len(self.change_times)},
         )
         self.relay.set_version(report)
         report.told = self.relay.reports_for(peer)
         report.missed = self.survey.missed_by(peer.record.node)
         return report
 
-    def hear(self, report: NodeReport) -> None:
+    def receive(self, report: NodeReport) -> None:
         peer = self.peers[NodeName(report.node)]
         peer.last_report_at = loads.clock.uptime()
         peer.missing_nodes = report.missed
@@ -90,7 +90,7 @@
             teams=team_counts(report),
         )
 
-    def seen_of(self, node: NodeName) -> int:
+    def changes_known_of(self, node: NodeName) -> int:
         """Return how many changes of a node are known here."""
         known = self.loads.latest(node)
         return known.teams.counts.get(_TEAM, 0) if known else 0
@@ -113,26 +113,26 @@
         self._cut_halls: set[str] = set()
         #: Processes that take part in no exchange, as if suspended.
         self.silent: set[str] = set()
-        self.figures = Figures()
+        self.results = ReplayResults()
         for first in range(processes):
             for second in range(first + 1, processes):
                 self._link(first, second)
         self._change_times = sorted(self._draw_changes(processes))
 
-    def run(self, seconds: float, warm: float = 1) -> Figures:
+    def run(self, seconds: float, warm: float = 1) -> ReplayResults:
         """Simulate some seconds; measure only after the warm-up."""
         with mock.patch.object(loads.clock, 'uptime', lambda: self._now):
             until = self._now + warm
             self._run_until(until)
-            self.figures = Figures()
+            self.results = ReplayResults()
             end = until + seconds
             while until < end:
                 until += _SAMPLE_SECONDS
                 self._run_until(until)
                 self._sample()
-        return self.figures
+        return self.results
 
-    def cut(self, one: str, other: str) -> None:
+    def disconnect(self, one: str, other: str) -> None:
         """Drop all exchanges between two halls from now on."""
         self._cut_halls = {one, other}
 
@@ -174,9 +174,9 @@
 
     def _change_until(self, moment: float) -> None:
         while self._change_times and self._change_times[0][0] <= moment:
-            changed, number = self._change_times.pop(0)
+            changed_at, number = self._change_times.pop(0)
             process = self._processes[number]
-            process.changed.append(changed)
+            process.change_times.append(changed_at)
             online = process.loads.own.online
             running = list(online.elements())
             if len(running) > self._rng.randrange(2 * _MEAN_RUNNING):
@@ -197,17 +197,17 @@
             peer = sender.peers[receiver.record.node]
             report = sender.report_to(peer)
             if between_halls:
-                self.figures.told += len(report.told)
+                self.results.relayed += len(report.told)
             if between_halls and self._changes:
                 size += self._send_changes(report, peer, receiver)
             else:
                 body = msgspec.json.encode(report)
                 size += len(body)
-                receiver.hear(msgspec.json.decode(body, type=NodeReport))
-        self.figures.busy += time.process_time() - began
-        self.figures.exchanges += between_halls
-        self.figures.bytes_between += size * between_halls
-        self.figures.bytes_within += size * (not between_halls)
+                receiver.receive(msgspec.json.decode(body, type=NodeReport))
+        self.results.cpu_seconds += time.process_time() - began
+        self.results.exchanges += between_halls
+        self.results.bytes_between_halls += size * between_halls
+        self.results.bytes_within_halls += size * (not between_halls)
 
     def _send_changes(
         self, report: NodeReport, peer: Peer, receiver: _Process
@@ -219,8 +219,8 @@
         holds = peer.change_codec.reader.last_number
         change = peer.change_codec.writer.write(report, holds, self._now)
         body = msgspec.json.encode(change)
-        told = msgspec.json.decode(body, type=type(change))
-        receiver.hear(reverse.reader.read(told, self._now))
+        received = msgspec.json.decode(body, type=type(change))
+        receiver.receive(reverse.reader.read(received, self._now))
         return len(body)
 
     def _sample(self) -> None:
@@ -228,13 +228,13 @@
         for other in self._processes:
             if other is one:
                 continue
-            seen = one.seen_of(other.record.node)
+            known_changes = one.changes_known_of(other.record.node)
             age = 0.0
-            if seen < len(other.changed):
-                age = self._now - other.changed[seen]
-            self.figures.ages.append(age)
+            if known_changes < len(other.change_times):
+                age = self._now - other.change_times[known_changes]
+            self.results.ages.append(age)
             if one.record.hall != other.record.hall:
-                self.figures.far_ages.append(age)
+                self.results.other_hall_ages.append(age)
 
 
 def _record(number: int, halls: int) -> PeerRecord:
--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -31,7 +31,7 @@
     ToldLoad,
 )
 from bendlead_store import Entry, Version
-from bendlead_testing.report_replay import ReportReplay, part_below
+from bendlead_testing.report_replay import ReportReplay, quantile
 from parameterized import parameterized
 
 NOW = 1000.0
@@ -346,19 +346,21 @@
         with mock.patch.object(links, '_RELAYS_PER_HALL', processes):
             before = ReportReplay(processes, halls, 1, changes=False).run(0.6)
         after = ReportReplay(processes, halls, 1, changes=True).run(0.6)
-        self.assertLess(after.bytes_between, before.bytes_between / part)
-        slack = 0.02
         self.assertLess(
-            part_below(after.far_ages, 0.95),
-            part_below(before.far_ages, 0.95) + slack,
+            after.bytes_between_halls, before.bytes_between_halls / part
+        )
+        tolerance = 0.02
+        self.assertLess(
+            quantile(after.other_hall_ages, 0.95),
+            quantile(before.other_hall_ages, 0.95) + tolerance,
         )
 
     def test_halls_cut_from_one_another(self):
         """Loads of the other hall must arrive by way of the third one."""
         replay = ReportReplay(36, 3, 1, changes=True)
         replay.run(0.2)
-        replay.cut('hall-0', 'hall-1')
-        ages = replay.run(3, warm=3).far_ages
+        replay.disconnect('hall-0', 'hall-1')
+        ages = replay.run(3, warm=3).other_hall_ages
         self.assertLess(max(ages), loads._EXPIRY_SECONDS)
 
     def test_half_suspended_and_resumed(self):
--- a/tests/test_gateway_loads.py
+++ b/tests/test_gateway_loads.py
@@ -95,13 +95,13 @@
     def test_sum_reads_no_report(self):
         """Choosing an engine must not slow down with the number of peers."""
         table = loads.LoadTable()
-        told = [CountedMapping({'i-1': 1}) for _peer in range(100)]
-        for number, counts in enumerate(told):
+        peer_counts = [CountedMapping({'i-1': 1}) for _peer in range(100)]
+        for number, counts in enumerate(peer_counts):
             table.report(f'entry-{number}', counts, counts)
-        for counts in told:
+        for counts in peer_counts:
             counts.reads = 0
         self.assertEqual((100, 100), (table.online('i-1'), table.batch('i-1')))
-        self.assertEqual(0, sum(counts.reads for counts in told))
+        self.assertEqual(0, sum(counts.reads for counts in peer_counts))
 
     @parameterized.expand([(seed,) for seed in range(5)])
     def test_sums_equal_those_of_unexpired_reports(self, seed):
--- a/tests/test_gateway_news.py
+++ b/tests/test_gateway_news.py
@@ -42,7 +42,7 @@
         report.told = self.relay.reports_for(self.peers[node])
         return report
 
-    def hear(self, report: NodeReport) -> None:
+    def receive(self, report: NodeReport) -> None:
         """Receive a peer's report."""
         self.relay.receive(self.peers[NodeName(report.node)], report.told)
         self.loads.report(
@@ -71,7 +71,7 @@
         ]
         self.links.rebuild(records)
         self.processes = [Process(record, self.links) for record in records]
-        self.due: list[tuple[float, int, int]] = []
+        self.scheduled: list[tuple[float, int, int]] = []
         for first in range(entries):
             for second in range(first + 1, entries):
                 self._link(first, second)
@@ -86,21 +86,21 @@
         one.peers[other.record.node] = Peer(other.record, link=link)
         other.peers[one.record.node] = Peer(one.record, link=link)
         start = START + self.rng.random() * self.links.interval(link)
-        heapq.heappush(self.due, (start, first, second))
+        heapq.heappush(self.scheduled, (start, first, second))
 
     def run_until(self, moment: float) -> None:
-        """Run all exchanges that are due by then."""
-        while self.due[0][0] <= moment:
-            self.now, first, second = heapq.heappop(self.due)
+        """Run all exchanges that are scheduled by then."""
+        while self.scheduled[0][0] <= moment:
+            self.now, first, second = heapq.heappop(self.scheduled)
             self._exchange(self.processes[first], self.processes[second])
             pause = self.links.interval(Link.CLOSE)
-            heapq.heappush(self.due, (self.now + pause, first, second))
+            heapq.heappush(self.scheduled, (self.now + pause, first, second))
         self.now = moment
 
     def _exchange(self, one: Process, other: Process) -> None:
         for sender, receiver in ((one, other), (other, one)):
             report = sender.report_to(receiver.record.node)
-            receiver.hear(report)
+            receiver.receive(report)
             self.relayed += len(report.told)
         self.exchanges += 1
 
@@ -142,8 +142,8 @@
             for step in range(25):
                 fleet.run_until(START + 1 + step * 0.1)
                 self.assertEqual({2}, set(fleet.known('i-0')))
-            fleet.due = [
-                one for one in fleet.due if one[1] != 0 and one[2] != 0
+            fleet.scheduled = [
+                one for one in fleet.scheduled if one[1] != 0 and one[2] != 0
             ]
             fleet.run_until(fleet.now + 2)
             self.assertEqual({0}, set(fleet.known('i-0')[1:]))
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -123,14 +123,16 @@
     def exchange(self, node, **fields):
         """Receive a report and return the response."""
         report = NodeReport(node=node, sound=True, leaving=False, **fields)
-        answer = self.peers.exchange(msgspec.json.encode(report))
-        return msgspec.json.decode(answer, type=NodeReport)
+        response = self.peers.exchange(msgspec.json.encode(report))
+        return msgspec.json.decode(response, type=NodeReport)
 
     def test_missed_reports_are_relayed(self):
         self.exchange('a', batch={'i-1': 3})
         self.exchange('e', missed=['a', 'nobody'])
-        told = self.exchange('e', missed=['a', 'nobody']).told
-        self.assertEqual([('a', {'i-1': 3})], [(t.node, t.batch) for t in told])
+        relayed = self.exchange('e', missed=['a', 'nobody']).told
+        self.assertEqual(
+            [('a', {'i-1': 3})], [(load.node, load.batch) for load in relayed]
+        )
 
     @parameterized.expand(
         [
@@ -142,8 +144,8 @@
     def test_relayed_loads(self, _name, direct, age_ms, counted):
         if direct is not None:
             self.exchange('a', batch={'i-1': direct})
-        told = ToldLoad(node='a', age_ms=age_ms, batch={'i-1': 3})
-        self.exchange('e', told=[told])
+        relayed = ToldLoad(node='a', age_ms=age_ms, batch={'i-1': 3})
+        self.exchange('e', told=[relayed])
         self.assertEqual(counted, self.loads.batch('i-1'))
 
     def test_missing_reports_are_requested(self):
@@ -171,18 +173,18 @@
         report = NodeReport(
             node=node, sound=True, leaving=False, online={node: 2}, version=7
         )
-        answer = self.peers.exchange(msgspec.json.encode(report))
-        told = msgspec.json.decode(answer, type=NodeReport).told
-        return [(one.node, dict(one.online)) for one in told]
+        response = self.peers.exchange(msgspec.json.encode(report))
+        relayed = msgspec.json.decode(response, type=NodeReport).told
+        return [(load.node, dict(load.online)) for load in relayed]
 
     def test_report_is_relayed_once(self):
         for node in self.NODES:
             self.relayed_to(node)
         first = [self.relayed_to(node) for node in self.NODES]
         self.assertTrue(any(first))
-        for one in first:
-            self.assertLess(len(one), len(self.NODES))
-            for node, counts in one:
+        for relayed in first:
+            self.assertLess(len(relayed), len(self.NODES))
+            for node, counts in relayed:
                 self.assertEqual({node: 2}, counts)
         again = [self.relayed_to(node) for node in self.NODES]
         self.assertFalse(any(again))
--- a/tests/test_gateway_rest.py
+++ b/tests/test_gateway_rest.py
@@ -35,17 +35,19 @@
 
     def start(self, first_hall, second_hall):
         """Start both entries and wait until they exchange reports."""
-        self.asks = self.entry('entry-1', first_hall)
-        self.answers = self.entry('entry-2', second_hall)
-        eventually(lambda: self.asks.peers.entry_group().heard == 2)
+        self.client = self.entry('entry-1', first_hall)
+        self.server = self.entry('entry-2', second_hall)
+        eventually(lambda: self.client.peers.entry_group().heard == 2)
         gevent.sleep(0.3)
 
     def entry(self, name, hall):
         """Start an entry in a data hall."""
-        made = settings(name, NodeRole.ENTRY, self.store.address)
-        made = structs.replace(made, hall=DataHall(hall))
+        node_settings = settings(name, NodeRole.ENTRY, self.store.address)
+        node_settings = structs.replace(node_settings, hall=DataHall(hall))
         node = EntryNode(
-            made, PlatformStore(made.store_address), PlatformDialect()
+            node_settings,
+            PlatformStore(node_settings.store_address),
+            PlatformDialect(),
         )
         node.serve()
         return node
@@ -54,18 +56,18 @@
         """Count the exchanges within some seconds."""
         counted = []
         for name in ('exchange', 'exchange_changes'):
-            answer = getattr(self.answers.peers, name)
+            handle = getattr(self.server.peers, name)
 
-            def count(body, answer=answer):
+            def count(body, handle=handle):
                 counted.append(body)
-                return answer(body)
+                return handle(body)
 
             path = '/peer/report' if name == 'exchange' else '/peer/changes'
-            self.answers._exchanges[path] = count
+            self.server._exchanges[path] = count
         gevent.sleep(seconds)
         return len(counted)
 
-    def is_heard(self, loads, count):
+    def is_known(self, loads, count):
         """Return whether this number of requests is known."""
         return loads.online(_ENGINE) == count
 
@@ -77,23 +79,23 @@
     )
     def test_idle(self, _name, hall, least, most):
         self.start('hall-a', hall)
-        found = self.exchanges(1)
-        self.assertGreaterEqual(found, least)
-        self.assertLessEqual(found, most)
+        exchanges = self.exchanges(1)
+        self.assertGreaterEqual(exchanges, least)
+        self.assertLessEqual(exchanges, most)
 
     @parameterized.expand(
         [
-            ('of_the_one_that_asks', 'asks', 'answers', 0.1),
-            ('of_the_one_that_answers', 'answers', 'asks', 0.2),
+            ('of_the_one_that_asks', 'client', 'server', 0.1),
+            ('of_the_one_that_answers', 'server', 'client', 0.2),
         ]
     )
-    def test_change_is_heard_soon(self, _name, changes, hears, bound):
+    def test_change_arrives_soon(self, _name, changed, receiver, bound):
         self.start('hall-a', 'hall-b')
-        loads = getattr(self, hears).fleet.loads
-        waited = []
+        loads = getattr(self, receiver).fleet.loads
+        delays = []
         for count in range(1, 6):
-            getattr(self, changes).fleet.loads.start_online(_ENGINE)
-            began = clock.uptime()
-            eventually(partial(self.is_heard, loads, count))
-            waited.append(clock.uptime() - began)
-        self.assertLess(sorted(waited)[2], bound)
+            getattr(self, changed).fleet.loads.start_online(_ENGINE)
+            started = clock.uptime()
+            eventually(partial(self.is_known, loads, count))
+            delays.append(clock.uptime() - started)
+        self.assertLess(sorted(delays)[2], bound)
