--- a/tests/test_gateway_changes_told.py
+++ b/tests/test_gateway_changes_told.py
@@ -240,23 +240,23 @@
 
     address = '127.0.0.1:1'
 
-    def __init__(self, side: FakeProcess) -> None:
-        self._side = side
+    def __init__(self, process: FakeProcess) -> None:
+        self._process = process
 
     def request(self, _method, path, _headers, body, _timeout) -> Response:
         """Return the process's response, or lose it."""
-        side = self._side
-        side.paths.append(path)
+        process = self._process
+        process.paths.append(path)
         if path == REPORT_PATH:
-            answer = side.peers.exchange(body)
-        elif side.takes_changes:
-            answer = side.peers.exchange_changes(body)
+            answer = process.peers.exchange(body)
+        elif process.takes_changes:
+            answer = process.peers.exchange_changes(body)
         else:
             return Response(ResponseHead(404, '', []), b'')
-        if side.lost:
-            side.lost -= 1
+        if process.lost:
+            process.lost -= 1
             raise OSError('lost')
-        if not side.takes_changes:
+        if not process.takes_changes:
             plain = msgspec.json.decode(answer)
             plain.pop('takes_changes')
             answer = msgspec.json.encode(plain)
@@ -276,13 +276,13 @@
 
     def check_updates(self):
         """Check that loads of both sides arrive with the next exchange."""
-        for side in (self.one, self.other):
-            side.online['i-1'] = side.online.get('i-1', 0) + 2
+        for process in (self.one, self.other):
+            process.online['i-1'] = process.online.get('i-1', 0) + 2
             # Versions have a resolution of one millisecond.
             time.sleep(0.002)
         self.one.ask(self.other)
-        for side, sender in ((self.one, self.other), (self.other, self.one)):
-            known = side.loads.latest(sender.record.node)
+        for process, sender in ((self.one, self.other), (self.other, self.one)):
+            known = process.loads.latest(sender.record.node)
             self.assertEqual(sender.online, known.online)
 
     def test_changes_are_sent(self):
@@ -297,8 +297,8 @@
 
     @parameterized.expand([('asker', 'one'), ('asked', 'other')])
     def test_restart_under_the_same_name(self, _name, which):
-        side = getattr(self, which)
-        side.restart([self.other if side is self.one else self.one])
+        process = getattr(self, which)
+        process.restart([self.other if process is self.one else self.one])
         self.check_updates()
         self.check_updates()
 
