--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
@@ -29,7 +29,7 @@
 _MAX_FINDINGS_PER_REPORT = 32
 #: A finding is sent when it comes from this many streams, when it differs from
 #: the last one sent by more than this share, and again after this time.
-_SEND_AT_STREAMS = frozenset((1, 3, ENOUGH_STREAMS))
+_SEND_AT_STREAMS = frozenset((1, 3, RELIABLE_STREAMS))
 _CHANGE_RATIO = 0.15
 _RENEW_SECONDS = 20.0
 #: A finding is not sent once this many peers have reported the same.
@@ -124,15 +124,15 @@
             'witnesses': len(self._speeds.peer_estimates(engine)),
         }
 
-    def _on_own_finding(self, engine: Engine, finding: Finding) -> None:
+    def _on_own_finding(self, engine: Engine, finding: SpeedEstimate) -> None:
         """Take a finding of this process."""
         self.counts['own'] += 1
         if self._should_send(engine, finding):
-            self._speeds.tell(engine, finding)
+            self._speeds.mark_sent(engine, finding)
             self._schedule(engine, finding)
 
-    def _should_send(self, engine: Engine, finding: Finding) -> bool:
-        last = self._speeds.told(engine)
+    def _should_send(self, engine: Engine, finding: SpeedEstimate) -> bool:
+        last = self._speeds.last_sent(engine)
         if last is not None:
             due = finding.at - last.at > _RENEW_SECONDS
             enough = finding.streams in _SEND_AT_STREAMS
@@ -141,7 +141,7 @@
                 return False
         same = sum(
             other.weight >= finding.weight and _is_similar(other, finding)
-            for other in self._speeds.findings(engine).values()
+            for other in self._speeds.peer_estimates(engine).values()
             if finding.at - other.at < _RENEW_SECONDS
         )
         return same < _MAX_CONFIRMATIONS
@@ -150,26 +150,27 @@
         """Take one finding; return whether it is plausible."""
         gap = pace.gap_us / _US
         plausible = (
-            LEAST_GAP <= gap <= MOST_GAP and 0 < pace.streams <= _MAX_STREAMS
+            MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS
+            and 0 < pace.streams <= _MAX_STREAMS
         )
         engine = self._engines.named(EngineId(pace.engine))
         if not plausible or engine is None:
             return False
-        finding = Finding(gap, pace.streams, now)
+        finding = SpeedEstimate(gap, pace.streams, now)
         # It may be of an earlier incarnation of the engine.
         same = pace.born == engine.born
-        if same and self._speeds.hear(engine, witness, finding):
+        if same and self._speeds.add_peer_estimate(engine, witness, finding):
             self.counts['heard'] += 1
         return True
 
-    def _schedule(self, engine: Engine, finding: Finding) -> None:
+    def _schedule(self, engine: Engine, finding: SpeedEstimate) -> None:
         until = clock.uptime() + _SEND_SECONDS
         self._pending[engine.engine] = _PendingFinding(engine, finding, until)
 
     def _schedule_all(self) -> None:
         """Send all findings again, for a peer that may have restarted."""
         for engine in self._engines.all():
-            finding = self._speeds.told(engine)
+            finding = self._speeds.last_sent(engine)
             if finding is not None:
                 self._schedule(engine, finding)
 
@@ -188,7 +189,7 @@
         self._uneven = tuple(uneven)
 
 
-def _is_similar(one: Finding, other: Finding) -> bool:
+def _is_similar(one: SpeedEstimate, other: SpeedEstimate) -> bool:
     return abs(one.gap - other.gap) <= _CHANGE_RATIO * other.gap
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -219,7 +219,7 @@
         if peer.link is not Link.CLOSE:
             return False
         shared = self.shared_health
-        if shared and shared.news(peer.evidence_sent)[1]:
+        if shared and shared.updates_after(peer.evidence_sent)[1]:
             return True
         return self._relay.has_reports_for(peer)
 
@@ -238,7 +238,9 @@
             report.missed = self._survey.missed_by(peer.record.node)
             shared = self.shared_health
             if shared and peer.link is Link.CLOSE:
-                peer.evidence_sent, updates = shared.news(peer.evidence_sent)
+                peer.evidence_sent, updates = shared.updates_after(
+                    peer.evidence_sent
+                )
                 report.evidence = updates
             if peer.report is not None and peer.report.asks_levels:
                 report.levels = self._levels()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -22,7 +22,7 @@
 from bendlead_gateway._fleet.report_codec import CHANGES_PATH, REPORT_PATH
 from bendlead_gateway._fleet.store_calls import STORE_PATH, answer_call
 from bendlead_gateway._fleet.store_failover import FailoverStore
-from bendlead_gateway._health.judge import Seat
+from bendlead_gateway._health.evaluator import LocalNode
 from bendlead_gateway._http.messages import Request, Responder
 from bendlead_gateway._http.server import HttpServer
 from bendlead_gateway._log import Log
