--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/board.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/board.py
@@ -1,4 +1,4 @@
-"""The jobs of one shard while this process holds it."""
+"""The jobs of a shard that this process owns."""
 
 import base64
 import time
@@ -46,28 +46,31 @@
     TeamName,
 )
 
-#: Pause between two commits of a shard (s): what comes meanwhile shares one
-#: paid write, and an acceptance is due within some hundred ms.
-_COMMIT_INTERVAL = 0.08
-#: A client waits about this long (s) for its job to be accepted.
-_ACCEPT_SECONDS = 2.0
-#: A commit that has been tried for this long (s) is not merely one or two
-#: lost answers: the object service turns this process away, or is down.
+#: Records that arrive meanwhile share one write, since each write is billed.
+_COMMIT_INTERVAL_SECONDS = 0.08
+#: Timeout of the commits that clients wait for.
+_CLIENT_COMMIT_SECONDS = 2.0
+#: A commit retried for this long is not just a lost response: the object
+#: service is down or refuses this process.
 _STUCK_SECONDS = 2.0
-#: Kept beyond the time a job's status must be readable (s).
-_KEPT_SLACK = 60.0
-#: Bytes of records that each write of the head repeats, until they are moved
-#: into a segment of their own, which takes two paid calls.
+#: Time that jobs are kept beyond the retention period.
+_RETENTION_SLACK_SECONDS = 60.0
+#: Size limit of the log tail, which each write of the head repeats. Sealing it
+#: into a segment takes two billed calls.
 _TAIL_BYTES = 32_768
-#: Segments that gather before a snapshot replaces them: that packs the whole
-#: shard and takes a paid call or two a segment. Progress fills half of them.
-_SEGMENTS = 128
-#: Jobs whose items are read side by side at a takeover.
-_READS_AT_ONCE = 4
+#: Number of segments at which a snapshot replaces them. A snapshot encodes the
+#: whole shard and takes a billed call or two for each segment.
+_MAX_SEGMENTS = 128
+#: Jobs whose items are read concurrently at a takeover.
+_CONCURRENT_READS = 4
 
 
 class Board:
-    """Accept, record and end the jobs of one shard."""
+    """Accept, record and end the jobs of one shard.
+
+    ``retention`` is how long (s) after its acceptance a job stays readable.
+    ``on_lost`` is called once the shard turns out to have another owner.
+    """
 
     def __init__(
         self,
@@ -75,15 +78,15 @@
         shard: ShardId,
         log: ShardLog,
         state: ShardState,
-        kept: float,
+        retention: float,
         on_lost: Callable[[], None],
     ) -> None:
         self._store = store
         self._log = log
         self._state = state
         self._shard = shard
-        self._kept = kept
-        self._confirming: Event | None = None
+        self._retention = retention
+        self._confirmation: Event | None = None
         self._accepting: dict[JobId, Event] = {}
         self.pending = PendingJobs()
         self.jobs: dict[JobId, HeldJob] = {}
@@ -91,50 +94,56 @@
             self.jobs, lambda: self._committer.last_write_seconds
         )
         self._committer = Committer(
-            log, state, lambda: _COMMIT_INTERVAL, on_lost, self._progress.along
+            log,
+            state,
+            lambda: _COMMIT_INTERVAL_SECONDS,
+            on_lost,
+            self._progress.along,
+        )
+        self._progress_writer = gevent.spawn(
+            self._progress.run, self._committer
         )
-        self._saver = gevent.spawn(self._progress.run, self._committer)
 
     @property
     def epoch(self) -> int:
-        """Tell the epoch at which the shard is held."""
+        """Return the epoch of this ownership."""
         return self._log.epoch
 
     @property
     def lost_by(self) -> str:
-        """Tell why the shard was lost."""
+        """Return why the shard was lost."""
         failure = self._committer.failure
         return f'lost: {failure}' if failure else 'fenced'
 
     @property
     def held(self) -> bool:
-        """Tell whether results may still be recorded here."""
+        """Return whether results may still be recorded here."""
         return not self._committer.lost
 
     @property
     def snapshot_failure(self) -> Failure | None:
-        """Tell why the log could not be folded, if so."""
+        """Return why the last snapshot failed, None if it did not."""
         return self._committer.snapshot_failure
 
     @property
     def stuck(self) -> bool:
-        """Tell whether this process can't write to the object service."""
+        """Return whether a write to the object service is overdue."""
         return self._committer.writing_seconds > _STUCK_SECONDS
 
     @property
     def busy(self) -> bool:
-        """Tell whether results or acceptances wait for their commit."""
+        """Return whether results or new jobs wait for their commit."""
         recording = any(
-            one.finished
+            progress.finished
             for job in self.jobs.values()
-            for one in job.progress.values()
+            for progress in job.progress.values()
         )
         return recording or bool(self._accepting)
 
     def load(self) -> Result[None, Failure]:
-        """Read the items of the jobs that the log holds."""
+        """Read the items of the jobs in the log."""
         jobs = list(self._state.direct.values())
-        reads = Pool(_READS_AT_ONCE).imap(
+        reads = Pool(_CONCURRENT_READS).imap(
             partial(_read_items, self._store), jobs
         )
         for state, read in zip(jobs, reads, strict=True):
@@ -145,49 +154,52 @@
         return Ok(None)
 
     def close(self) -> None:
-        """Stop committing, and end the reads that wait for results."""
-        self._saver.kill()
+        """Stop committing and wake the reads that wait for results."""
+        self._progress_writer.kill()
         self._committer.close()
         for job in self.jobs.values():
             job.announce()
 
-    def save_progress(self, within: float) -> None:
-        """Have the log hold all progress, for the next owner to go on."""
+    def save_progress(self, timeout: float) -> None:
+        """Commit all unsaved progress, so that the next owner can resume."""
         records = self._progress.take()
         if records:
-            self._committer.commit(records, within)
+            self._committer.commit(records, timeout)
+
+    def sure(self, max_age: float) -> Result[None, Failure]:
+        """Confirm ownership unless it was confirmed within ``max_age`` seconds.
 
-    def sure(self, within: float) -> Result[None, Failure]:
-        """Make sure that the shard was held within the last seconds."""
-        if clock.uptime() - self._log.confirmed_at < within:
+        Concurrent callers share one confirmation.
+        """
+        if clock.uptime() - self._log.confirmed_at < max_age:
             return Ok(None)
-        running = self._confirming
+        running = self._confirmation
         if running is not None:
-            running.wait(within)
-            if clock.uptime() - self._log.confirmed_at < within:
+            running.wait(max_age)
+            if clock.uptime() - self._log.confirmed_at < max_age:
                 return Ok(None)
             return Err(Failure(FailureKind.NOT_DONE, 'confirm', 'store'))
-        self._confirming = Event()
+        self._confirmation = Event()
         try:
             return self._log.confirm()
         finally:
-            done, self._confirming = self._confirming, None
-            done.set()
+            confirmation, self._confirmation = self._confirmation, None
+            confirmation.set()
 
     def waiting_tokens(self, host: str, team: TeamName) -> int:
-        """Count the tokens of a team that wait or are being accepted."""
-        held = sum(
+        """Count a team's tokens for a host in unfinished and pending jobs."""
+        accepted = sum(
             job.waiting_tokens
             for job in self.jobs.values()
             if job.host == host and job.team == team
         )
-        return held + self.pending.tokens(host, team)
+        return accepted + self.pending.tokens(host, team)
 
     def accept(self, submission: Submission) -> Result[None, Failure]:
-        """Make a job durable, or join the attempt that does."""
+        """Commit a job, or wait for the attempt under way to do so."""
         running = self._accepting.get(submission.job)
         if running is not None:
-            running.wait(_ACCEPT_SECONDS)
+            running.wait(_CLIENT_COMMIT_SECONDS)
             if submission.job in self.jobs:
                 return Ok(None)
             return Err(Failure(FailureKind.UNKNOWN, 'accept', 'store'))
@@ -202,7 +214,7 @@
         return accepted
 
     def record(self, job: HeldJob, result: ItemResult) -> Result[None, Failure]:
-        """Make the result of an item durable, then show it."""
+        """Commit the result of an item, then publish it to readers."""
         record = DirectResultsRecorded(
             job=job.job,
             results=[
@@ -220,11 +232,11 @@
         return Ok(None)
 
     def end(self, job: HeldJob) -> Result[None, Failure]:
-        """End a job durably."""
+        """Commit the end of a job, unless it has ended."""
         if job.state.ended:
             return Ok(None)
         done = self._committer.commit(
-            [DirectJobEnded(job=job.job)], _ACCEPT_SECONDS
+            [DirectJobEnded(job=job.job)], _CLIENT_COMMIT_SECONDS
         )
         if isinstance(done, Err):
             return done
@@ -232,19 +244,21 @@
         return Ok(None)
 
     def forget_old(self) -> None:
-        """Forget jobs whose status nobody may ask for any more."""
-        oldest = time.time() - self._kept - _KEPT_SLACK
-        gone: list[Record] = [
+        """Remove finished jobs past the retention period."""
+        oldest = time.time() - self._retention - _RETENTION_SLACK_SECONDS
+        expired: list[Record] = [
             JobRemoved(job=name)
             for name, job in self.jobs.items()
             if not job.state.open and job.state.accepted.accepted_at < oldest
         ]
-        if gone and isinstance(self._committer.commit(gone), Ok):
-            for record in gone:
+        if expired and isinstance(self._committer.commit(expired), Ok):
+            for record in expired:
                 self.jobs.pop(JobId(record.job), None)
 
     def _commit_job(self, submission: Submission) -> Result[None, Failure]:
-        packed, bulk = pack_items([_stored(one) for one in submission.items])
+        packed, bulk = pack_items(
+            [_encode_item(item) for item in submission.items]
+        )
         parts: list[str] = []
         if bulk:
             written = write_parts(self._store, self._shard, bulk)
@@ -262,26 +276,26 @@
             packed=packed,
             parts=parts,
         )
-        done = self._committer.commit([record], _ACCEPT_SECONDS)
+        done = self._committer.commit([record], _CLIENT_COMMIT_SECONDS)
         if isinstance(done, Err):
-            gevent.spawn(self._find_unclear, submission)
+            gevent.spawn(self._await_unclear_commit, submission)
             return done
-        self._hold(submission)
+        self._add_job(submission)
         return Ok(None)
 
-    def _find_unclear(self, submission: Submission) -> None:
-        """Hold a job whose commit took effect after its caller gave up."""
-        until = clock.uptime() + self._kept
-        while clock.uptime() < until and not self._committer.lost:
+    def _await_unclear_commit(self, submission: Submission) -> None:
+        """Add a job whose commit takes effect after its timeout."""
+        deadline = clock.uptime() + self._retention
+        while clock.uptime() < deadline and not self._committer.lost:
             if submission.job in self._state.direct:
-                self._hold(submission)
+                self._add_job(submission)
                 break
             if not self._committer.stalled:
                 break
-            gevent.sleep(_COMMIT_INTERVAL)
+            gevent.sleep(_COMMIT_INTERVAL_SECONDS)
         self.pending.drop(submission.job)
 
-    def _hold(self, submission: Submission) -> None:
+    def _add_job(self, submission: Submission) -> None:
         if submission.job not in self.jobs:
             state = self._state.direct[submission.job]
             self.jobs[submission.job] = HeldJob(state, submission.items)
@@ -291,17 +305,17 @@
     store: ValueStore,
     shard: int,
     owner: Owner,
-    kept: float,
+    retention: float,
     on_lost: Callable[[], None],
 ) -> Result[Board, Failure]:
-    """Take a shard over and read what it holds."""
-    settings = LedgerSettings(tail_bytes=_TAIL_BYTES, segments=_SEGMENTS)
+    """Take over a shard and load its jobs."""
+    settings = LedgerSettings(tail_bytes=_TAIL_BYTES, segments=_MAX_SEGMENTS)
     log = ShardLog(store, ShardId(shard), owner, settings)
     taken = log.take_over()
     if isinstance(taken, Err):
         return taken
     state = taken.ok_value
-    board = Board(store, ShardId(shard), log, state, kept, on_lost)
+    board = Board(store, ShardId(shard), log, state, retention, on_lost)
     loaded = board.load()
     if isinstance(loaded, Err):
         board.close()
@@ -321,12 +335,14 @@
         if isinstance(read, Err):
             return read
         bulk = read.ok_value
-    # Decoding the items of one job takes some ms.
+    # Decoding the items of one job may take several milliseconds.
     gevent.sleep(0)
-    return Ok([_item(one) for one in unpack_items(accepted.packed, bulk)])
+    return Ok(
+        [_decode_item(item) for item in unpack_items(accepted.packed, bulk)]
+    )
 
 
-def _stored(item: JobItem) -> DirectItem:
+def _encode_item(item: JobItem) -> DirectItem:
     return DirectItem(
         item=item.item,
         path=item.path,
@@ -336,7 +352,7 @@
     )
 
 
-def _item(stored: DirectItem) -> JobItem:
+def _decode_item(stored: DirectItem) -> JobItem:
     return JobItem(
         ItemId(stored.item),
         stored.path,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/held.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/held.py
@@ -1,4 +1,4 @@
-"""One job that is held here, and how far its items have come."""
+"""An owned job and the progress of its items."""
 
 from collections.abc import Iterator, Sequence
 
@@ -22,12 +22,15 @@
     TeamName,
 )
 
-#: The method of the requests that items make.
+#: HTTP method of the requests for items.
 ITEM_METHOD = 'POST'
 
 
 class Progress(Struct):
-    """Keep how far an item has come; events are kept over its runs."""
+    """The progress of an item over all its runs.
+
+    Events are numbered consecutively. Times are uptimes in seconds.
+    """
 
     item: JobItem
     texts: list[str] = field(default_factory=list)
@@ -35,168 +38,180 @@
     failures: int = 0
     finished: bool = False
     not_before: float = 0
-    #: Made when it is first asked for: waiting items are looked at every 25 ms,
-    #: and to digest 15 kB takes 0.02 ms.
+    #: Computed on first use: the scheduler checks waiting items often.
     digest: RequestDigest | None = None
-    #: When the run under way began, on the steady clock (s).
-    _since: float | None = None
-    #: When its first run here began, on the steady clock (s).
-    _begun: float | None = None
-    #: Whether an earlier owner began it.
+    #: Start of the current run.
+    _run_started_at: float | None = None
+    #: Start of the first run under this owner.
+    _first_run_at: float | None = None
+    #: Whether a run had started under an earlier owner.
     _restored: bool = False
-    #: Seconds for which earlier runs of the item have held places.
-    _spent: float = 0
-    #: How many texts, up to which event, have been handed to the log.
-    _kept_texts: int = 0
-    _kept_event: int = BEFORE_FIRST
-    #: How many failures have been handed to the log.
-    _kept_failures: int = 0
+    #: Total duration of the previous runs.
+    _previous_run_seconds: float = 0
+    #: Number of texts handed to the log, and the last event in them.
+    _saved_texts: int = 0
+    _saved_event: int = BEFORE_FIRST
+    #: Number of failures handed to the log.
+    _saved_failures: int = 0
 
     @classmethod
     def restored(
         cls, item: JobItem, kept: KeptProgress | None, failures: int = 0
     ) -> 'Progress':
-        """Go on behind what an earlier owner has kept, if it has."""
+        """Return the progress that an earlier owner saved, if any."""
         if kept is None:
-            return cls(item, failures=failures, _kept_failures=failures)
+            return cls(item, failures=failures, _saved_failures=failures)
         return cls(
             item,
             [kept.text],
             kept.last_event,
             failures,
-            _kept_failures=failures,
+            _saved_failures=failures,
             _restored=True,
-            _spent=kept.spent,
-            _kept_texts=1,
-            _kept_event=kept.last_event,
+            _previous_run_seconds=kept.spent,
+            _saved_texts=1,
+            _saved_event=kept.last_event,
         )
 
     @property
     def running(self) -> bool:
-        """Tell whether a run is under way."""
-        return self._since is not None
+        """Return whether the item is running."""
+        return self._run_started_at is not None
 
     @property
     def spent(self) -> float:
-        """Give the seconds for which runs have held places so far."""
-        if self._since is None:
-            return self._spent
-        return self._spent + clock.uptime() - self._since
+        """Return the total duration (s) of all runs, with the current one."""
+        if self._run_started_at is None:
+            return self._previous_run_seconds
+        return (
+            self._previous_run_seconds + clock.uptime() - self._run_started_at
+        )
 
     @property
     def took(self) -> float | None:
-        """Give the seconds since its first run began, if that was here."""
-        if self._begun is None or self._restored:
+        """Return the seconds since the first run began.
+
+        None if the item has not run, or first ran under an earlier owner.
+        """
+        if self._first_run_at is None or self._restored:
             return None
-        return clock.uptime() - self._begun
+        return clock.uptime() - self._first_run_at
 
     @property
     def not_kept(self) -> int:
-        """Count the events that have not been handed to the log."""
-        return len(self.texts) - self._kept_texts
+        """Count the texts not yet handed to the log."""
+        return len(self.texts) - self._saved_texts
 
     @property
     def failed_since(self) -> bool:
-        """Tell whether a failure has not been handed to the log."""
-        return self.failures > self._kept_failures
+        """Return whether a failure has not yet been handed to the log."""
+        return self.failures > self._saved_failures
 
     def take_failures(self) -> ItemFailures:
-        """Hand over how often the item has failed."""
-        self._kept_failures = self.failures
+        """Return the record of the failures and mark them as saved."""
+        self._saved_failures = self.failures
         return ItemFailures(item=self.item.item, failures=self.failures)
 
     def begin(self) -> None:
-        """Note that a run holds a place from now on."""
-        self._since = clock.uptime()
-        if self._begun is None:
-            self._begun = self._since
+        """Start timing a run."""
+        self._run_started_at = clock.uptime()
+        if self._first_run_at is None:
+            self._first_run_at = self._run_started_at
 
     def pause(self) -> None:
-        """Note that the run no longer holds its place."""
-        self._spent = self.spent
-        self._since = None
-
-    def take(self, most: int) -> DirectProgress:
-        """Hand over the next events, one at least, of so many characters."""
-        until = self._kept_texts + 1
-        size = len(self.texts[self._kept_texts])
-        while until < len(self.texts):
-            size += len(self.texts[until]) + 1
-            if size > most:
+        """Stop timing the current run."""
+        self._previous_run_seconds = self.spent
+        self._run_started_at = None
+
+    def take(self, max_characters: int) -> DirectProgress:
+        """Return the record of the next unsaved events and mark them as saved.
+
+        It has at least one event, even if that exceeds ``max_characters``.
+        """
+        end = self._saved_texts + 1
+        size = len(self.texts[self._saved_texts])
+        while end < len(self.texts):
+            size += len(self.texts[end]) + 1
+            if size > max_characters:
                 break
-            until += 1
-        made = DirectProgress(
+            end += 1
+        record = DirectProgress(
             item=self.item.item,
-            after=self._kept_event,
-            # Numbers of events rise by one.
-            last_event=self.last_event - len(self.texts) + until,
-            text='\n'.join(self.texts[self._kept_texts : until]),
+            after=self._saved_event,
+            # Event numbers are consecutive.
+            last_event=self.last_event - len(self.texts) + end,
+            text='\n'.join(self.texts[self._saved_texts : end]),
             spent=self.spent,
         )
-        # One text in place of many, shared with the state of the shard.
-        kept = self.texts[: self._kept_texts]
-        self.texts = [*kept, made.text, *self.texts[until:]]
-        self._kept_texts += 1
-        self._kept_event = made.last_event
-        return made
+        # Replace the texts by the joined one, which the shard state shares.
+        saved = self.texts[: self._saved_texts]
+        self.texts = [*saved, record.text, *self.texts[end:]]
+        self._saved_texts += 1
+        self._saved_event = record.last_event
+        return record
 
 
 class HeldJob:
-    """Hold one job: its durable state and how far its items have come."""
+    """A job: its durable state and the progress of its items.
+
+    ``changed`` is set and replaced whenever results are published.
+    """
 
     def __init__(self, state: DirectJobState, items: Sequence[JobItem]) -> None:
         self.state = state
         self.changed = Event()
         self.progress = {
-            one.item: Progress.restored(
-                one, state.kept.get(one.item), state.failures.get(one.item, 0)
+            item.item: Progress.restored(
+                item,
+                state.kept.get(item.item),
+                state.failures.get(item.item, 0),
             )
-            for one in items
-            if not state.listed(one.item)
+            for item in items
+            if not state.listed(item.item)
         }
 
     @property
     def job(self) -> JobId:
-        """Give the id."""
+        """Return the job id."""
         return JobId(self.state.accepted.job)
 
     @property
     def host(self) -> str:
-        """Give the host whose routes the items take."""
+        """Return the host whose routes apply to the items."""
         return self.state.accepted.host
 
     @property
     def team(self) -> TeamName:
-        """Give the team that handed the job in."""
+        """Return the team that submitted the job."""
         return TeamName(self.state.accepted.team)
 
     @property
     def waiting_tokens(self) -> int:
-        """Count the tokens of the items that no engine has finished."""
-        return sum(one.item.tokens for one in self.unfinished)
+        """Count the tokens of the unfinished items."""
+        return sum(progress.item.tokens for progress in self.unfinished)
 
     @property
     def unfinished(self) -> Iterator[Progress]:
-        """List the items that are still to be done."""
+        """Yield the unfinished items, none once the job has ended."""
         if self.state.ended:
             return
-        for one in self.progress.values():
-            if not one.finished:
-                yield one
+        for progress in self.progress.values():
+            if not progress.finished:
+                yield progress
 
     @property
     def items_begun(self) -> int:
-        """Count the items of which some events are here."""
-        return sum(bool(one.texts) for one in self.progress.values())
+        """Count the items that have events."""
+        return sum(bool(progress.texts) for progress in self.progress.values())
 
     def waiting(self, now: float) -> Iterator[Progress]:
-        """List the items that could start now."""
-        for one in self.unfinished:
-            if not one.running and one.not_before <= now:
-                yield one
+        """Yield the items that are ready to start at an uptime."""
+        for progress in self.unfinished:
+            if not progress.running and progress.not_before <= now:
+                yield progress
 
     def digest(self, progress: Progress) -> RequestDigest:
-        """Name the request that an item makes at an engine."""
+        """Return the digest of the item's request to engines."""
         if progress.digest is None:
             item = progress.item
             progress.digest = digest_request(
@@ -205,31 +220,35 @@
         return progress.digest
 
     def body(self, item: ItemId) -> bytes | None:
-        """Give the body of an item without result, unless it is unknown."""
-        found = self.progress.get(item)
-        return found.item.body if found else None
+        """Return the body of an item, None if it is unknown or has a result."""
+        progress = self.progress.get(item)
+        return progress.item.body if progress else None
 
     def announce(self) -> None:
-        """Wake the readers and forget what is listed."""
+        """Wake the readers and drop the progress of items with a result."""
         for item in list(self.progress):
             if self.state.listed(item):
                 self.progress.pop(item)
         self.changed.set()
         self.changed = Event()
 
-    def results(self, after: int, most_bytes: int) -> list[ItemResult]:
-        """Give results from a position on, one at least if there is one."""
-        given: list[ItemResult] = []
+    def results(self, after: int, max_characters: int) -> list[ItemResult]:
+        """Return the results from position ``after`` on.
+
+        Return at least one if there is one, even if its text exceeds
+        ``max_characters``.
+        """
+        results: list[ItemResult] = []
         size = 0
-        for one in self.state.results[after:]:
-            size += len(one.text)
-            if given and size > most_bytes:
+        for stored in self.state.results[after:]:
+            size += len(stored.text)
+            if results and size > max_characters:
                 break
-            given.append(_shown(one))
-        return given
+            results.append(_decode_result(stored))
+        return results
 
 
-def _shown(stored: DirectResult) -> ItemResult:
+def _decode_result(stored: DirectResult) -> ItemResult:
     outcome = ItemOutcome.GIVEN_UP
     if stored.completed:
         outcome = ItemOutcome.COMPLETED
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/pending.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/pending.py
@@ -1,4 +1,4 @@
-"""Jobs that are being accepted: their ids and tokens are taken already."""
+"""Jobs whose acceptance is being committed."""
 
 from msgspec import Struct, field
 
@@ -6,27 +6,30 @@
 
 
 class PendingJobs(Struct):
-    """Keep the jobs whose acceptance is not known to have failed or worked."""
+    """Submitted jobs until their commit is known to have failed or succeeded.
+
+    Their ids are taken and their tokens count against the queue limit.
+    """
 
     _submissions: dict[JobId, Submission] = field(default_factory=dict)
 
     def add(self, submission: Submission) -> None:
-        """Keep a job from now on."""
+        """Add a job whose commit begins."""
         self._submissions[submission.job] = submission
 
     def drop(self, job: JobId) -> None:
-        """Forget a job that is held now, or surely was not accepted."""
+        """Remove a job that was accepted or definitely not."""
         self._submissions.pop(job, None)
 
     def team_of(self, job: JobId) -> TeamName | None:
-        """Tell whose job has an id, if one has."""
-        found = self._submissions.get(job)
-        return found.team if found else None
+        """Return the team of a pending job, None if there is none."""
+        submission = self._submissions.get(job)
+        return submission.team if submission else None
 
     def tokens(self, host: str, team: TeamName) -> int:
-        """Count the tokens of a team for a host."""
+        """Count a team's pending tokens for a host."""
         return sum(
-            one.tokens
-            for one in self._submissions.values()
-            if one.host == host and one.team == team
+            submission.tokens
+            for submission in self._submissions.values()
+            if submission.host == host and submission.team == team
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
@@ -1,4 +1,4 @@
-"""Which progress of a shard's items goes into its log, and when."""
+"""Choose which item progress is written to a shard's log, and when."""
 
 from collections.abc import Callable, Iterator, Mapping
 
@@ -13,27 +13,29 @@
 from bendlead_gateway._jobs.held import HeldJob, Progress
 from bendlead_gateway.types import JobId
 
-#: Shortest time (s) between two records of progress: a write that goes out
-#: anyway carries it for nothing, but each record is written again with every
-#: later write until the tail of the log is sealed.
-_ALONG_SECONDS = 0.4
-#: Progress that has waited this long (s) gets a write of its own: a call to the
-#: object service is paid for, and a death loses half of it on average.
-_ALONE_SECONDS = 1.0
-#: What arrives waits for the write under way, so where writes are slow, those
-#: with progress are apart by this many times as long, but no longer than (s):
-_WRITES_APART = 10
-_LONGEST_SECONDS = 5.0
+#: Shortest interval at which other writes carry progress: each later write
+#: repeats the record until the tail of the log is sealed.
+_PIGGYBACK_INTERVAL_SECONDS = 0.4
+#: Interval after which progress gets a write of its own. It trades billed calls
+#: for the progress that is lost when the process dies.
+_OWN_WRITE_INTERVAL_SECONDS = 1.0
+#: Interval as a multiple of the duration of the last write, up to the maximum:
+#: new records wait for the write under way, so slow writes must be rare.
+_INTERVAL_PER_WRITE_TIME = 10
+_MAX_INTERVAL_SECONDS = 5.0
 _CHECK_SECONDS = 0.2
-#: Most characters of one turn: a value of the object service holds a megabyte.
-#: To compress more holds up the requests of this process for milliseconds.
-_MOST_CHARACTERS = 200_000
+#: Limit of the text in one write: a value of the object service is limited to
+#: 1 MB, and compressing more text delays the requests of this process.
+_MAX_CHARACTERS = 200_000
 
-_Fresh = tuple[JobId, Progress]
+_UnsavedItem = tuple[JobId, Progress]
 
 
 class ProgressLog:
-    """Hand over the events that the log does not hold yet."""
+    """Produce the log records of progress that is not saved yet.
+
+    ``write_seconds`` returns the duration of the last write to the log.
+    """
 
     def __init__(
         self,
@@ -46,28 +48,36 @@
 
     @property
     def due(self) -> bool:
-        """Tell whether progress is worth a write of its own."""
-        return self._rested(_ALONE_SECONDS) and any(self._fresh())
+        """Return whether progress needs a write of its own."""
+        return self._interval_passed(_OWN_WRITE_INTERVAL_SECONDS) and any(
+            self._unsaved()
+        )
 
     def run(self, committer: Committer) -> None:
-        """Write progress that no other write has carried, for ever."""
+        """Commit progress without waiting for other writes, while owned."""
         while not committer.lost:
             gevent.sleep(_CHECK_SECONDS)
             if self.due:
-                # Where it fails the shard is lost, which is logged there.
+                # A failure means that the shard is lost, which its owner logs.
                 committer.commit(self.take())
 
     def along(self) -> list[Record]:
-        """Give what goes with a write that is made anyway."""
-        return self.take() if self._rested(_ALONG_SECONDS) else []
+        """Return the records to add to a write that is made anyway."""
+        return (
+            self.take()
+            if self._interval_passed(_PIGGYBACK_INTERVAL_SECONDS)
+            else []
+        )
 
     def take(self) -> list[Record]:
-        """Give what to write, of the items first that lack most."""
+        """Return records up to the size limit, most unsaved texts first."""
         self._taken_at = clock.uptime()
-        left = _MOST_CHARACTERS
+        remaining = _MAX_CHARACTERS
         taken: dict[JobId, DirectResultsRecorded] = {}
-        for job, progress in sorted(self._fresh(), key=_not_kept, reverse=True):
-            if left <= 0:
+        for job, progress in sorted(
+            self._unsaved(), key=_count_unsaved, reverse=True
+        ):
+            if remaining <= 0:
                 break
             record = taken.setdefault(
                 job, DirectResultsRecorded(job=job, results=[])
@@ -75,27 +85,27 @@
             if progress.failed_since:
                 record.failed.append(progress.take_failures())
             if progress.not_kept:
-                one = progress.take(left)
-                left -= len(one.text)
-                record.progress.append(one)
+                events = progress.take(remaining)
+                remaining -= len(events.text)
+                record.progress.append(events)
         return list(taken.values())
 
-    def _rested(self, seconds: float) -> bool:
-        apart = max(seconds, self._write_seconds() * _WRITES_APART)
-        rested = clock.uptime() - self._taken_at
-        return rested > min(apart, _LONGEST_SECONDS)
+    def _interval_passed(self, interval: float) -> bool:
+        wanted = max(interval, self._write_seconds() * _INTERVAL_PER_WRITE_TIME)
+        elapsed = clock.uptime() - self._taken_at
+        return elapsed > min(wanted, _MAX_INTERVAL_SECONDS)
 
-    def _fresh(self) -> Iterator[_Fresh]:
-        """List the items with events or failures that the log lacks."""
-        for name, job in self._jobs.items():
+    def _unsaved(self) -> Iterator[_UnsavedItem]:
+        """Yield the unfinished items with unsaved events or failures."""
+        for job_id, job in self._jobs.items():
             if job.state.ended:
                 continue
             for progress in job.progress.values():
-                news = progress.not_kept or progress.failed_since
-                if news and not progress.finished:
-                    yield name, progress
+                unsaved = progress.not_kept or progress.failed_since
+                if unsaved and not progress.finished:
+                    yield job_id, progress
 
 
-def _not_kept(fresh: _Fresh) -> int:
-    _job, progress = fresh
+def _count_unsaved(item: _UnsavedItem) -> int:
+    _job, progress = item
     return progress.not_kept
