--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Keep batch jobs, run their items in idle places, show their results."""
+"""Store batch jobs, run their items in free slots and serve results."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/keeper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/keeper.py
@@ -1,4 +1,4 @@
-"""Hold the shards that fall to this process."""
+"""Ownership of job shards by this process."""
 
 from collections.abc import Callable, Sequence
 
@@ -15,21 +15,23 @@
 from bendlead_gateway.types import NodeName, PeerRecord
 
 _CHECK_SECONDS = 0.1
-#: Let peers be heard before taking anything after a start (s).
+#: Time after a start for reports of peers to arrive before any takeover.
 _SETTLING_SECONDS = 0.8
-#: The same for shards whose last holder is known to have ended: callers of its
-#: jobs wait, and only the owners that prefer it less have to be heard.
-_FIRST_LOOK_SECONDS = 0.2
-#: Leave a shard that was just lost to its new owner (s).
-_CALM_SECONDS = 1.5
-#: Pause between two tries to take a shard (s); each costs a call or two.
-_TRY_SECONDS = 0.4
-#: What a leaving owner waits (s) for one write of its items' progress.
-_SAVE_SECONDS = 0.5
+#: The same for shards whose last owner has surely ended: their clients wait.
+_FAST_SETTLING_SECONDS = 0.2
+#: Time after losing a shard before this process may take it over again.
+_LOST_COOLDOWN_SECONDS = 1.5
+#: Interval between takeover attempts, each of which takes a billed call or two.
+_ATTEMPT_INTERVAL_SECONDS = 0.4
+#: Timeout of the write that saves progress before shards are given up.
+_SAVE_TIMEOUT_SECONDS = 0.5
 
 
 class ShardKeeper:
-    """Take over the shards that prefer this process, give up the others."""
+    """Take over the shards whose preferred owner is this process.
+
+    A shard is given up when another process owns it or this one leaves.
+    """
 
     def __init__(
         self,
@@ -37,50 +39,53 @@
         record: PeerRecord,
         peers: PeerTable,
         log: Log,
-        kept: float,
+        retention: float,
     ) -> None:
         self._store = store
         self._record = record
         self._peers = peers
         self._log = log
-        self._kept = kept
+        self._retention = retention
         self._lost_at: dict[int, float] = {}
-        self._tried_at: dict[int, float] = {}
-        #: Who held each shard when this process started.
-        self._last_holders: dict[int, str] = {}
+        self._attempted_at: dict[int, float] = {}
+        #: Owner of each shard, as recorded when this process started.
+        self._initial_owners: dict[int, str] = {}
         self._leaving = False
-        self._patience = OwnerGracePeriod(store)
+        self._grace_period = OwnerGracePeriod(store)
         self.boards: dict[int, Board] = {}
 
     def epochs(self) -> dict[int, int]:
-        """Tell which shards are held at which epoch."""
-        return {shard: one.epoch for shard, one in self.boards.items()}
+        """Return the epoch of each owned shard."""
+        return {shard: board.epoch for shard, board in self.boards.items()}
 
     def run(self, sound: Callable[[], bool]) -> None:
-        """Check who should hold each shard, for ever."""
+        """Check the owner of each shard until told to leave.
+
+        Take shards over only while ``sound`` returns true.
+        """
         settled_at = clock.uptime() + _SETTLING_SECONDS
-        gevent.sleep(_FIRST_LOOK_SECONDS)
+        gevent.sleep(_FAST_SETTLING_SECONDS)
         while not self._leaving:
             settled = clock.uptime() >= settled_at
             for shard in range(SHARDS):
                 if not self._leaving and (settled or self._is_free(shard)):
-                    self._consider(shard, sound())
+                    self._check(shard, sound())
             gevent.sleep(_CHECK_SECONDS)
 
-    def leave(self, within: float) -> None:
-        """Give all shards up once their commits are through."""
+    def leave(self, timeout: float) -> None:
+        """Give up all shards once their commits are done or time is up."""
         self._leaving = True
         self._save(list(self.boards.values()))
-        until = clock.uptime() + within
-        while clock.uptime() < until:
-            if not any(one.busy for one in self.boards.values()):
+        deadline = clock.uptime() + timeout
+        while clock.uptime() < deadline:
+            if not any(board.busy for board in self.boards.values()):
                 break
             gevent.sleep(_CHECK_SECONDS / 4)
         for shard in list(self.boards):
             self._give_up(shard, 'leaving')
 
     def hand_over(self) -> None:
-        """Give up the shards whose commits are through, if others are able."""
+        """Give up shards without pending commits, if any peer can own them."""
         self._leaving = True
         if not self._peers.claims.able_owners():
             return
@@ -91,73 +96,80 @@
         }
         self._save(list(ready.values()))
         for shard, board in ready.items():
-            # A job may have come in meanwhile.
+            # A job may have been submitted meanwhile.
             if not board.busy:
                 self._give_up(shard, 'handed over')
 
     def _save(self, boards: Sequence[Board]) -> None:
-        """Write how far items have come, so that the next owner goes on."""
+        """Save the progress of items for the next owner to resume from."""
         gevent.joinall(
-            [gevent.spawn(one.save_progress, _SAVE_SECONDS) for one in boards]
+            [
+                gevent.spawn(board.save_progress, _SAVE_TIMEOUT_SECONDS)
+                for board in boards
+            ]
         )
 
-    def _consider(self, shard: int, sound: bool) -> None:
-        held = self.boards.get(shard)
+    def _check(self, shard: int, sound: bool) -> None:
+        board = self.boards.get(shard)
         claimed = self._peers.claims.claimed(shard)
-        if held is not None:
-            # A holder that can't write goes on until another one can: its
-            # items keep running, and nothing it does can count by mistake.
-            if claimed > held.epoch:
-                self._give_up(shard, f'held by another at epoch {claimed}')
+        if board is not None:
+            # An owner that cannot write keeps its shard until another takes
+            # over: its items go on, and the epoch fences late writes.
+            if claimed > board.epoch:
+                self._give_up(
+                    shard, f'owned by another process at epoch {claimed}'
+                )
             return
         now = clock.uptime()
-        calm = now - self._lost_at.get(shard, 0) > _CALM_SECONDS
-        tried = now - self._tried_at.get(shard, 0) < _TRY_SECONDS
-        if not sound or not calm or tried:
+        cooled_down = now - self._lost_at.get(shard, 0) > _LOST_COOLDOWN_SECONDS
+        attempted = (
+            now - self._attempted_at.get(shard, 0) < _ATTEMPT_INTERVAL_SECONDS
+        )
+        if not sound or not cooled_down or attempted:
             return
-        if not self._prefers(shard):
+        if not self._is_preferred(shard):
             return
         if not claimed or self._may_replace(shard, claimed):
-            self._tried_at[shard] = now
-            self._take(shard)
+            self._attempted_at[shard] = now
+            self._take_over(shard)
 
     def _is_free(self, shard: int) -> bool:
-        """Tell whether the last holder of a shard has surely ended since.
+        """Return whether the last owner of a shard has surely ended.
 
-        It is a process of this node, or of one whose new process is heard and
-        holds nothing.
+        It has if it was an earlier process of this node, or of a node whose
+        current process reports that it is able to own shards.
         """
-        if not self._prefers(shard):
+        if not self._is_preferred(shard):
             return False
-        if shard not in self._last_holders:
-            found = read_holder(self._store, ShardId(shard))
-            if isinstance(found, Err):
+        if shard not in self._initial_owners:
+            owner = read_holder(self._store, ShardId(shard))
+            if isinstance(owner, Err):
                 return False
-            self._last_holders[shard] = found.ok_value
-        holder = NodeName(self._last_holders[shard])
-        own = holder == self._record.node
-        return own or holder in self._peers.claims.able_owners()
+            self._initial_owners[shard] = owner.ok_value
+        node = NodeName(self._initial_owners[shard])
+        own = node == self._record.node
+        return own or node in self._peers.claims.able_owners()
 
-    def _prefers(self, shard: int) -> bool:
-        """Tell whether a shard prefers this process among those heard."""
+    def _is_preferred(self, shard: int) -> bool:
+        """Return whether this process is the preferred owner of a shard."""
         nodes = [*self._peers.claims.able_owners(), self._record.node]
         return preferred_owner(shard, nodes) == self._record.node
 
     def _may_replace(self, shard: int, epoch: int) -> bool:
-        """Tell whether the holder at an epoch can't write while we can."""
+        """Return whether the owner cannot write while this process can."""
         if not self._peers.claims.holder_is_stuck(shard, epoch):
             return False
-        self._tried_at[shard] = clock.uptime()
-        return self._patience.is_over(shard)
+        self._attempted_at[shard] = clock.uptime()
+        return self._grace_period.is_over(shard)
 
-    def _take(self, shard: int) -> None:
-        began = clock.uptime()
+    def _take_over(self, shard: int) -> None:
+        started_at = clock.uptime()
         owner = Owner(self._record.node, self._record.address)
         opened = open_board(
             self._store,
             shard,
             owner,
-            self._kept,
+            self._retention,
             lambda: self._give_up(shard, ''),
         )
         if isinstance(opened, Err):
@@ -173,10 +185,10 @@
             epoch=board.epoch,
             jobs=len(board.jobs),
             items_begun=sum(job.items_begun for job in board.jobs.values()),
-            ms=round((clock.uptime() - began) * 1000),
+            ms=round((clock.uptime() - started_at) * 1000),
         )
         if self._leaving:
-            # Told to leave meanwhile: nobody else would give it up.
+            # leave() was called meanwhile and did not see this shard.
             self._give_up(shard, 'leaving')
 
     def _give_up(self, shard: int, reason: str) -> None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/retirement.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/retirement.py
@@ -1,4 +1,4 @@
-"""Empty this node when the operator asks for it, and say when it is."""
+"""Drain this node on an operator's order and report when it is done."""
 
 from collections.abc import Callable, Sequence
 
@@ -11,15 +11,19 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import NodeName, StopOrder
 
-#: Part of the time allowed after which the node says it is empty even where
-#: nobody has taken its shards yet: all they hold is in the object service.
-_PATIENCE_SHARE = 0.6
-_CHECK_SECONDS = 0.1
-_RETRY_SECONDS = 0.3
+#: Share of the order's time after which shards are given up even if no other
+#: owner can take them: their state is in the object service.
+_HAND_OVER_SHARE = 0.6
+_CHECK_INTERVAL_SECONDS = 0.1
+_RETRY_INTERVAL_SECONDS = 0.3
 
 
 class Retirement:
-    """Follow orders to empty nodes and obey the one for this node."""
+    """Watch orders to drain nodes and execute the one for this node.
+
+    ``on_order`` is called first; ``finish_calls`` once all shards are given
+    up, to wait for the requests under way.
+    """
 
     def __init__(
         self,
@@ -38,44 +42,44 @@
         self._log = log
         self._on_order = on_order
         self._finish_calls = finish_calls
-        self._obeyed = False
+        self._order_received = False
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Take all orders."""
+        """Process all orders."""
         for entry in entries:
-            self._take(entry)
+            self._receive(entry)
 
     def change(self, change: Change) -> None:
-        """Take one order."""
+        """Process a new or changed order."""
         if not change.deleted:
-            self._take(Entry(change.key, change.version, change.body))
+            self._receive(Entry(change.key, change.version, change.body))
 
-    def _take(self, entry: Entry) -> None:
+    def _receive(self, entry: Entry) -> None:
         decoded = self._dialect.stop_order(entry)
         if isinstance(decoded, Err):
             self._log.event('order-unreadable', reason=decoded.err_value)
             return
         order = decoded.ok_value
-        if order.node == self._node and not self._obeyed:
-            self._obeyed = True
-            gevent.spawn(self._obey, entry.key, order)
+        if order.node == self._node and not self._order_received:
+            self._order_received = True
+            gevent.spawn(self._execute, entry.key, order)
 
-    def _obey(self, key: str, order: StopOrder) -> None:
+    def _execute(self, key: str, order: StopOrder) -> None:
         self._log.event('retiring', seconds=order.seconds)
-        until = clock.uptime() + order.seconds * _PATIENCE_SHARE
+        deadline = clock.uptime() + order.seconds * _HAND_OVER_SHARE
         self._on_order()
-        while self._keeper.boards and clock.uptime() < until:
+        while self._keeper.boards and clock.uptime() < deadline:
             self._keeper.hand_over()
-            gevent.sleep(_CHECK_SECONDS)
+            gevent.sleep(_CHECK_INTERVAL_SECONDS)
         self._keeper.leave(0)
         self._finish_calls()
-        self._say_empty(key)
+        self._report_drained(key)
 
-    def _say_empty(self, key: str) -> None:
+    def _report_drained(self, key: str) -> None:
         body = self._dialect.stop_status(finished=True)
         while True:
             written = self._store.put_status(key, body)
             if isinstance(written, Ok):
                 self._log.event('retired', key=key)
                 return
-            gevent.sleep(_RETRY_SECONDS)
+            gevent.sleep(_RETRY_INTERVAL_SECONDS)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shards.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shards.py
@@ -1,4 +1,4 @@
-"""Which shard keeps the jobs of a host, and who should hold it."""
+"""Assignment of hosts to shards and of shards to nodes."""
 
 from collections.abc import Sequence
 
@@ -6,18 +6,21 @@
 
 from bendlead_gateway.types import NodeName
 
-#: Shards of all jobs. All jobs of one host are in one shard, so that one
-#: process counts the tokens that wait on its routes.
+#: All jobs of one host are in one shard, so that one process enforces the
+#: queue limits of its routes.
 SHARDS = 4
 
 
 def shard_of(host: str) -> int:
-    """Give the shard that keeps the jobs of a host."""
+    """Return the shard of the jobs of a host."""
     return xxhash.xxh3_64_intdigest(host.encode()) % SHARDS
 
 
 def preferred_owner(shard: int, nodes: Sequence[NodeName]) -> NodeName:
-    """Pick an owner by rendezvous hashing: few shards move on a change."""
+    """Return the preferred owner, by rendezvous hashing.
+
+    Few shards move when a node joins or leaves.
+    """
     return max(
         nodes,
         key=lambda node: xxhash.xxh3_64_intdigest(f'{shard}/{node}'.encode()),
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/work.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/work.py
@@ -1,4 +1,4 @@
-"""Tell how much work is left beside the places that items hold."""
+"""Report the remaining work to the estimate of item durations."""
 
 from collections.abc import Iterator
 
@@ -12,23 +12,26 @@
 
 
 class WorkWatch:
-    """Look at all unfinished items now and then: each costs a moment."""
+    """Report the remaining work of all unfinished items now and then.
 
-    def __init__(self, keeper: ShardKeeper, pace: ItemDurations) -> None:
+    Counting it is too slow for each scheduling round.
+    """
+
+    def __init__(self, keeper: ShardKeeper, durations: ItemDurations) -> None:
         self._keeper = keeper
-        self._pace = pace
-        self._look_again_at = 0.0
+        self._durations = durations
+        self._next_update_at = 0.0
 
     def look(self, running: int) -> None:
-        """Tell the pace what is left if the last look is some time ago."""
+        """Report the work if the interval since the last report has passed."""
         now = clock.uptime()
-        if now >= self._look_again_at:
-            self._look_again_at = now + UPDATE_INTERVAL_SECONDS
-            self._pace.update_work(self._spent(), running)
+        if now >= self._next_update_at:
+            self._next_update_at = now + UPDATE_INTERVAL_SECONDS
+            self._durations.update_work(self._run_seconds(), running)
 
-    def _spent(self) -> Iterator[float]:
-        """List the seconds that each unfinished item has held places."""
+    def _run_seconds(self) -> Iterator[float]:
+        """Yield the total run time (s) of each unfinished item."""
         for board in self._keeper.boards.values():
             for job in board.jobs.values():
-                for one in job.unfinished:
-                    yield one.spent
+                for progress in job.unfinished:
+                    yield progress.spent
