--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -1,4 +1,4 @@
-"""Answer clients' calls about jobs for the shards held here."""
+"""Serve job requests for the shards that this process owns."""
 
 import random
 from http import HTTPStatus
@@ -33,18 +33,19 @@
 _FULL = HTTPStatus.TOO_MANY_REQUESTS
 _JSON = (('Content-Type', 'application/json'),)
 _RETRY_AFTER = (('Retry-After', '0.3'),)
-#: A client whose job does not fit should come back when items are done (s).
+#: Retry-After of a job over the queue limit where no estimate is available.
 _FULL_RETRY_AFTER = (('Retry-After', '1'),)
-#: Marks an answer that only says who does not hold the shard.
-_NOT_HELD = (('X-Not-Held', '1'), ('Retry-After', '0.3'))
-#: Results of one answer (bytes of text).
-_MOST_RESULTS = 900_000
-#: Ownership proved this share of the settling time ago is fresh enough.
-_SURE_SHARE = 0.7
+#: Tells the relay that this process does not own the shard.
+_NOT_OWNED = (('X-Not-Held', '1'), ('Retry-After', '0.3'))
+#: Size limit of the results in one response.
+_MAX_RESULTS_BYTES = 900_000
+#: Greatest age of the last proof of ownership for reads, as a share of the
+#: settling time.
+_OWNERSHIP_AGE_SHARE = 0.7
 
 
 class JobApi:
-    """Accept, show and end jobs."""
+    """Accept, read and end jobs."""
 
     def __init__(
         self,
@@ -60,21 +61,21 @@
         self._configuration = configuration
         self._dialect = dialect
         self._log = log
-        self._sure = settle * _SURE_SHARE
+        self._max_ownership_age = settle * _OWNERSHIP_AGE_SHARE
 
     def answer(self, request: Request, responder: Responder) -> None:
-        """Answer one call that an entry relays."""
+        """Serve one request relayed by an entry."""
         call = self._dialect.job_call(
             request.method, request.target, request.headers
         )
         host = request.host
         board = self._keeper.boards.get(shard_of(host))
         if board is None:
-            responder.answer(_AWAY, _NOT_HELD)
+            responder.answer(_AWAY, _NOT_OWNED)
         elif call is None:
             self._submit(request, responder, board)
         else:
-            self._call(call, responder, board, told_team(request.headers))
+            self._serve_call(call, responder, board, told_team(request.headers))
 
     def _submit(
         self, request: Request, responder: Responder, board: Board
@@ -88,32 +89,36 @@
         submission = replace(submission, team=told_team(request.headers))
         route = self._configuration.match(submission.host, request.path)
         if route is None or route.kind is not RouteKind.BATCH:
-            self._said(
+            self._respond(
                 submission,
-                'no route',
+                'no batch route matches',
                 responder,
                 HTTPStatus.SERVICE_UNAVAILABLE,
             )
             return
         if _team_of(board, submission.job) not in {None, submission.team}:
-            self._said(
+            self._respond(
                 submission,
-                'id of another team',
+                'job id is used by another team',
                 responder,
                 HTTPStatus.CONFLICT,
             )
             return
         if submission.job in board.jobs:
-            self._said(submission, 'again', responder, HTTPStatus.ACCEPTED)
+            self._respond(
+                submission, 'already accepted', responder, HTTPStatus.ACCEPTED
+            )
             return
-        over = _tokens_over(board, submission, route)
-        if over > 0:
-            self._refuse_full(submission, responder, over)
+        excess = _excess_tokens(board, submission, route)
+        if excess > 0:
+            self._reject_over_limit(submission, responder, excess)
             return
         accepted = board.accept(submission)
         if accepted.is_ok():
             self._runner.wake()
-            self._said(submission, 'accepted', responder, HTTPStatus.ACCEPTED)
+            self._respond(
+                submission, 'accepted', responder, HTTPStatus.ACCEPTED
+            )
         else:
             failure: Failure = accepted.err_value
             status = (
@@ -121,31 +126,31 @@
                 if failure.had_no_effect
                 else HTTPStatus.GATEWAY_TIMEOUT
             )
-            self._said(submission, str(failure), responder, status)
+            self._respond(submission, str(failure), responder, status)
 
-    def _refuse_full(
-        self, submission: Submission, responder: Responder, over: int
+    def _reject_over_limit(
+        self, submission: Submission, responder: Responder, excess: int
     ) -> None:
-        """Tell when the tokens that are too many will have been done."""
+        """Reject a job; Retry-After is when the excess should be processed."""
         headers = _FULL_RETRY_AFTER
         if self._configuration.asks_for_keys:
             seconds = self._runner.backlog_rates.estimate_seconds(
                 submission.host,
                 submission.team,
-                over,
+                excess,
                 clock.uptime(),
                 random.random,
             )
             headers = (('Retry-After', f'{seconds:.3f}'),)
-        self._said(
+        self._respond(
             submission,
-            f'does not fit by {over} tokens',
+            f'queue limit exceeded by {excess} tokens',
             responder,
             HTTPStatus.TOO_MANY_REQUESTS,
             headers,
         )
 
-    def _said(
+    def _respond(
         self,
         submission: Submission,
         reason: str,
@@ -165,25 +170,25 @@
             headers = _RETRY_AFTER
         responder.answer(status, headers)
 
-    def _call(
+    def _serve_call(
         self,
         call: JobCall,
         responder: Responder,
         board: Board,
         team: TeamName,
     ) -> None:
-        sure = board.sure(self._sure)
-        if sure.is_err():
-            failure: Failure = sure.err_value
+        confirmed = board.sure(self._max_ownership_age)
+        if confirmed.is_err():
+            failure: Failure = confirmed.err_value
             fenced = failure.kind is FailureKind.CONFLICT
             responder.answer(
                 HTTPStatus.SERVICE_UNAVAILABLE,
-                _NOT_HELD if fenced else _RETRY_AFTER,
+                _NOT_OWNED if fenced else _RETRY_AFTER,
             )
             return
         job = board.jobs.get(call.job)
         if job is None or job.team != team:
-            # The answer shows a team nothing of the jobs of others.
+            # Do not reveal that another team has a job with this id.
             self._log.event(
                 'job-unknown',
                 job=call.job,
@@ -193,42 +198,46 @@
             )
             responder.answer(HTTPStatus.NOT_FOUND)
         elif isinstance(call, ReadResults):
-            self._read(call, responder, board, job)
+            self._read_results(call, responder, board, job)
         elif isinstance(call, ReadBody):
-            self._body(call, responder, job)
+            self._read_body(call, responder, job)
         elif isinstance(call, EndJob):
-            self._end(responder, board, job)
+            self._end_job(responder, board, job)
 
-    def _read(
+    def _read_results(
         self,
         call: ReadResults,
         responder: Responder,
         board: Board,
         job: HeldJob,
     ) -> None:
-        until = clock.uptime() + call.wait
+        deadline = clock.uptime() + call.wait
         while len(job.state.results) <= call.after and job.state.open:
             if not board.held:
-                # Results come at another owner from now on.
+                # The new owner records the results from now on.
                 break
-            left = until - clock.uptime()
-            if left <= 0:
+            remaining = deadline - clock.uptime()
+            if remaining <= 0:
                 break
-            job.changed.wait(left)
-        given = job.results(call.after, _MOST_RESULTS)
+            job.changed.wait(remaining)
+        results = job.results(call.after, _MAX_RESULTS_BYTES)
         body = self._dialect.encode_results(
-            job.state.accepted.total, call.after, given
+            job.state.accepted.total, call.after, results
         )
         responder.answer(HTTPStatus.OK, _JSON, body)
 
-    def _body(self, call: ReadBody, responder: Responder, job: HeldJob) -> None:
+    def _read_body(
+        self, call: ReadBody, responder: Responder, job: HeldJob
+    ) -> None:
         body = None if job.state.ended else job.body(call.item)
         if body is None:
             responder.answer(HTTPStatus.NOT_FOUND)
         else:
             responder.answer(HTTPStatus.OK, (), body)
 
-    def _end(self, responder: Responder, board: Board, job: HeldJob) -> None:
+    def _end_job(
+        self, responder: Responder, board: Board, job: HeldJob
+    ) -> None:
         ended = board.end(job)
         self._runner.wake()
         status = (
@@ -238,8 +247,8 @@
         responder.answer(status, () if ended.is_ok() else _RETRY_AFTER)
 
 
-def _tokens_over(board: Board, submission: Submission, route: Route) -> int:
-    """Count the tokens by which a job does not fit."""
+def _excess_tokens(board: Board, submission: Submission, route: Route) -> int:
+    """Count the tokens by which a job would exceed the queue limit."""
     limit = route.max_waiting_tokens
     if not limit:
         return 0
@@ -248,6 +257,6 @@
 
 
 def _team_of(board: Board, job: JobId) -> TeamName | None:
-    """Tell whose job has an id, held or being accepted, if one has."""
-    held = board.jobs.get(job)
-    return held.team if held else board.pending.team_of(job)
+    """Return the team of an accepted or pending job, None if there is none."""
+    accepted = board.jobs.get(job)
+    return accepted.team if accepted else board.pending.team_of(job)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
@@ -1,4 +1,4 @@
-"""Pass clients' calls about jobs on to the process that holds them."""
+"""Relay clients' job requests to the process that owns the jobs."""
 
 from http import HTTPStatus
 
@@ -17,108 +17,112 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import Team, TeamName
 
-_CONNECT_SECONDS = 0.3
-#: An owner holds a read for up to a second.
-_ANSWER_SECONDS = 2.5
-#: How long (s) a call waits for a shard to find an owner.
-_OWNER_SECONDS = 0.3
-_RETRY_SECONDS = 0.05
-_KEPT = 16
-#: A shard whose owner died has a new one after about this long (s).
+_CONNECT_TIMEOUT_SECONDS = 0.3
+#: An owner may delay the response to a read for up to a second.
+_RESPONSE_TIMEOUT_SECONDS = 2.5
+#: Time that a request waits for its shard to have an owner.
+_OWNER_WAIT_SECONDS = 0.3
+_RETRY_INTERVAL_SECONDS = 0.05
+_MAX_IDLE_CONNECTIONS = 16
+#: About the time until a shard whose owner died has a new one.
 _RETRY_AFTER = (('Retry-After', '0.8'),)
-_PASSED_ANSWER = frozenset(('content-type', 'retry-after'))
-_NOT_HELD = 'x-not-held'
+_RELAYED_HEADERS = frozenset(('content-type', 'retry-after'))
+_NOT_OWNED_HEADER = 'x-not-held'
 
 
-class NotAskedError(Exception):
-    """The owner got no byte of the call."""
+class NotDeliveredError(Exception):
+    """The request was not sent to the owner, not even in part."""
 
 
 class JobRelay:
-    """Find the owner of a job's shard and relay the call.
+    """Find the owner of a job's shard and relay the request.
 
-    Reads and ends may be repeated; of a job a lost answer promises nothing.
+    Where the response is lost, clients may repeat reads and ends; a submitted
+    job may or may not have been accepted.
     """
 
     def __init__(self, peers: PeerTable, dialect: Dialect, log: Log) -> None:
         self._peers = peers
         self._dialect = dialect
         self._log = log
-        self._kept: dict[str, list[HttpConnection]] = {}
+        self._idle_connections: dict[str, list[HttpConnection]] = {}
 
     def answer(
         self, request: Request, responder: Responder, team: Team | None
     ) -> None:
-        """Have the holder of a job's shard answer a call of a team."""
-        told = replace(
+        """Relay a client's request to the owner, with the name of its team."""
+        relayed = replace(
             request,
             headers=tell_team(
                 self._dialect.without_key(request.headers),
                 team.name if team else TeamName(''),
             ),
         )
-        self._answer(told, responder, forwarded=False)
+        self._relay(relayed, responder, forwarded=False)
 
     def forward(self, request: Request, responder: Responder) -> None:
-        """Answer an entry that does not hear the holder of a shard.
+        """Relay a request of an entry that has no report of the owner.
 
-        The call goes to the holder or nowhere.
+        It goes to the owner only, never to another entry.
         """
-        self._answer(request, responder, forwarded=True)
+        self._relay(request, responder, forwarded=True)
 
-    def _answer(
+    def _relay(
         self, request: Request, responder: Responder, *, forwarded: bool
     ) -> None:
         shard = shard_of(request.host)
-        until = clock.uptime() + _OWNER_SECONDS
+        deadline = clock.uptime() + _OWNER_WAIT_SECONDS
         reason = ''
-        while reason is not None and clock.uptime() < until:
+        while reason is not None and clock.uptime() < deadline:
             if reason:
-                gevent.sleep(_RETRY_SECONDS)
-            reason = self._try_once(shard, request, responder, forwarded)
+                gevent.sleep(_RETRY_INTERVAL_SECONDS)
+            reason = self._try_known_owner(shard, request, responder, forwarded)
         if reason is not None:
             self._log.event(
                 'job-call-refused', target=request.target, reason=reason
             )
             responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
 
-    def _try_once(
+    def _try_known_owner(
         self,
         shard: int,
         request: Request,
         responder: Responder,
         forwarded: bool,
     ) -> str | None:
-        """Ask whoever can be asked, or tell why nobody has been."""
+        """Relay to the owner, or else to an entry that knows it.
+
+        Return None once the client has a response, else why there is none yet.
+        """
         claim = self._peers.claims.holder(shard)
         if claim is not None:
-            return self._try(claim, request, responder)
-        way = None if forwarded else self._peers.claims.way_to(shard)
-        if way is None:
+            return self._try_node(claim, request, responder)
+        entry = None if forwarded else self._peers.claims.way_to(shard)
+        if entry is None:
             return 'no owner'
         self._log.event(
-            'job-call-forwarded', target=request.target, entry=way.node
+            'job-call-forwarded', target=request.target, entry=entry.node
         )
-        return self._try(way, request, responder)
+        return self._try_node(entry, request, responder)
 
-    def _try(
+    def _try_node(
         self,
         claim: Claim,
         request: Request,
         responder: Responder,
     ) -> str | None:
-        """Have one owner answer, or tell why it has not been asked."""
+        """Relay to one node; return why the request must be retried, if so."""
         try:
-            answered = self._ask(claim, request)
-        except NotAskedError as error:
+            response = self._send(claim, request)
+        except NotDeliveredError as error:
             return f'{claim.node}: {error}'
         except OSError as error:
             self._log_unclear(request, claim, error)
-            _answer_unclear(responder, request)
+            _respond_unclear(responder, request)
             return None
-        if answered.head.find(_NOT_HELD):
-            return f'{claim.node} does not hold the shard'
-        self._pass_on(answered, responder)
+        if response.head.find(_NOT_OWNED_HEADER):
+            return f'{claim.node} does not own the shard'
+        self._respond(response, responder)
         return None
 
     def _log_unclear(
@@ -131,15 +135,15 @@
             reason=error,
         )
 
-    def _pass_on(self, answered: Response, responder: Responder) -> None:
+    def _respond(self, response: Response, responder: Responder) -> None:
         headers = [
             (name, text)
-            for name, text in answered.head.headers
-            if name.lower() in _PASSED_ANSWER
+            for name, text in response.head.headers
+            if name.lower() in _RELAYED_HEADERS
         ]
-        responder.answer(answered.head.status, headers, answered.body)
+        responder.answer(response.head.status, headers, response.body)
 
-    def _ask(self, claim: Claim, request: Request) -> Response:
+    def _send(self, claim: Claim, request: Request) -> Response:
         connection = self._connection(claim.address)
         try:
             return connection.request(
@@ -147,34 +151,34 @@
                 request.target,
                 end_to_end_headers(request.headers),
                 request.body,
-                _ANSWER_SECONDS,
+                _RESPONSE_TIMEOUT_SECONDS,
             )
         finally:
-            self._keep(claim.address, connection)
+            self._release(claim.address, connection)
 
-    def _keep(self, address: str, connection: HttpConnection) -> None:
-        kept = self._kept.setdefault(address, [])
-        if connection.reusable and len(kept) < _KEPT:
-            kept.append(connection)
+    def _release(self, address: str, connection: HttpConnection) -> None:
+        idle = self._idle_connections.setdefault(address, [])
+        if connection.reusable and len(idle) < _MAX_IDLE_CONNECTIONS:
+            idle.append(connection)
         else:
             connection.close()
 
     def _connection(self, address: str) -> HttpConnection:
-        kept = self._kept.get(address, [])
-        while kept:
-            connection = kept.pop()
+        idle = self._idle_connections.get(address, [])
+        while idle:
+            connection = idle.pop()
             if connection.quiet:
                 return connection
             connection.close()
         try:
-            return HttpConnection(address, _CONNECT_SECONDS)
+            return HttpConnection(address, _CONNECT_TIMEOUT_SECONDS)
         except OSError as error:
-            raise NotAskedError(f'connect: {error}') from error
+            raise NotDeliveredError(f'cannot connect: {error}') from error
 
 
-def _answer_unclear(responder: Responder, request: Request) -> None:
+def _respond_unclear(responder: Responder, request: Request) -> None:
     if request.method == 'POST':
-        # The job may have been accepted: no promise that it does not run.
+        # The job may have been accepted; a 503 would say that it was not.
         responder.answer(HTTPStatus.GATEWAY_TIMEOUT)
     else:
         responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/told_team.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/told_team.py
@@ -1,4 +1,7 @@
-"""Tell an owner whose call an entry passes on; keys stay at the entry."""
+"""The header with which an entry names a relayed request's team.
+
+Entries do not relay the keys themselves.
+"""
 
 from bendlead_gateway.types import Headers, TeamName
 
@@ -6,18 +9,18 @@
 
 
 def tell_team(headers: Headers, team: TeamName) -> list[tuple[str, str]]:
-    """Name the team of a call, whatever its client wrote there."""
-    told = [
+    """Return headers that name the team, replacing any that a client sent."""
+    relayed = [
         (name, text)
         for name, text in headers
         if name.lower() != _HEADER.lower()
     ]
-    told.append((_HEADER, team))
-    return told
+    relayed.append((_HEADER, team))
+    return relayed
 
 
 def told_team(headers: Headers) -> TeamName:
-    """Read the team that an entry told; nobody where it told none."""
+    """Return the team that the entry named, an empty name if none."""
     for name, text in headers:
         if name.lower() == _HEADER.lower():
             return TeamName(text)
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -381,8 +381,8 @@
     def test_owner_gets_no_key(self):
         relay = self.entry._relay
         told = []
-        with_team = relay._answer
-        relay._answer = lambda request, *rest, **kind: (
+        with_team = relay._relay
+        relay._relay = lambda request, *rest, **kind: (
             told.append(request),
             with_team(request, *rest, **kind),
         )
