--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -1,4 +1,4 @@
-"""Calls about jobs at an owner that gives its shards up."""
+"""Requests under way at an owner that gives up its shards."""
 
 from unittest import mock
 
@@ -13,36 +13,36 @@
 _HEADERS = [('Host', 'a.example'), ('X-Wait-Ms', '1000')]
 
 
-class CallUnderWayTest(OwnerCase):
-    """A read is held at an owner for a second, or until there are results."""
+class RequestUnderWayTest(OwnerCase):
+    """A read that waits for results is answered before the owner is gone."""
 
     def test_leaving_owner(self):
-        """A process must not end with a call that it has not answered."""
+        """A process must answer all requests before it exits."""
         self.configure()
         owner = self.holding()
-        read = self._hold_read(owner)
+        read = self._start_read(owner)
         owner.leaving = True
         owner.leave()
         self.assertEqual(0, owner.internal.busy)
         self.assertEqual(200, read.read_head(1).status)
 
     def test_retiring_owner(self):
-        """Who says that it is empty is removed in the same moment."""
+        """A node may be removed as soon as it reports completion."""
         self.configure()
         first = self.holding()
         second = self.owner('owner-2')
         eventually(second.peers.claims.able_owners)
         eventually(first.peers.claims.able_owners)
-        read = self._hold_read(first)
+        read = self._start_read(first)
         self.store.set('retirements', 'owner-1', {'duration_s': 5})
-        said = eventually(
+        status = eventually(
             lambda: self.store.get('retirements', 'owner-1')['status'], 4
         )
-        self.assertEqual('completed', said['state'])
+        self.assertEqual('completed', status['state'])
         self.assertEqual(200, read.read_head(0.1).status)
 
-    def _hold_read(self, owner):
-        """Have a read of a job without results wait at an owner."""
+    def _start_read(self, owner):
+        """Submit a job and start a read that waits for its results."""
         self.assertEqual(202, self.submit(owner))
         connection = HttpConnection(owner.record.address, 1)
         self.addCleanup(connection.close)
@@ -53,24 +53,24 @@
 
 
 class TakeoverUnderWayTest(OwnerCase):
-    """An owner that is told to stop while it takes a shard over."""
+    """An owner that leaves during a takeover."""
 
-    def test_nothing_is_taken_after_the_shards_were_given_up(self):
-        asked = Event()
-        answered = Event()
+    def test_no_shard_is_owned_after_leaving(self):
+        opened = Event()
+        resumed = Event()
 
-        def open_late(*given):
-            opened = keeper_open(*given)
-            asked.set()
-            answered.wait(3)
-            return opened
+        def open_late(*args):
+            result = open_board(*args)
+            opened.set()
+            resumed.wait(3)
+            return result
 
-        keeper_open = keeper.open_board
+        open_board = keeper.open_board
         with mock.patch.object(keeper, 'open_board', open_late):
             owner = self.owner()
-            self.assertTrue(asked.wait(3))
+            self.assertTrue(opened.wait(3))
             owner.leaving = True
             owner.leave()
-            answered.set()
+            resumed.set()
             gevent.sleep(0.3)
         self.assertEqual({}, owner._keeper.epochs())
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -1,4 +1,4 @@
-"""Jobs at an owner, with scripted engines, in one process."""
+"""Batch jobs at an owner, with scripted engines in the same process."""
 
 import json
 import random
@@ -17,37 +17,54 @@
     eventually,
 )
 
-_WHOLE = chunked(event(1, 'a'), event(2, 'b'))
+_COMPLETE = chunked(event(1, 'a'), event(2, 'b'))
 _TAIL = chunked(event(2, 'b'))
-_GAP = chunked(event(1, 'a'), event(3, 'c'))
-_NO_TEXT = chunked(event(1, 'a'), b'id: 2\ndata: \xff\n\n')
+_MISSING_EVENT = chunked(event(1, 'a'), event(3, 'c'))
+_NOT_UTF8 = chunked(event(1, 'a'), b'id: 2\ndata: \xff\n\n')
 _FAILED = b'HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n'
-_NEVER = b'HTTP/1.1 422 x\r\nContent-Length: 0\r\n\r\n'
-_SHED = b'HTTP/1.1 503 x\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n'
+_UNPROCESSABLE = b'HTTP/1.1 422 x\r\nContent-Length: 0\r\n\r\n'
+_NOT_EXECUTED = (
+    b'HTTP/1.1 503 x\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n'
+)
 
 
 class ItemTest(OwnerCase):
-    """How an item ends for what engines do."""
+    """The outcome of an item, by the engine's responses."""
 
     @parameterized.expand(
         [
-            ('whole', [_WHOLE], 'completed', 'a\nb'),
-            ('never_possible', [_NEVER], 'dead_lettered', ''),
+            ('complete', [_COMPLETE], 'completed', 'a\nb'),
+            ('unprocessable', [_UNPROCESSABLE], 'dead_lettered', ''),
             ('failed_three_times', [_FAILED] * 3, 'dead_lettered', ''),
-            ('failed_twice', [_FAILED, _FAILED, _WHOLE], 'completed', 'a\nb'),
-            ('shed_is_no_failure', [_SHED] * 4 + [_WHOLE], 'completed', 'a\nb'),
-            ('gap_goes_on_behind', [_GAP, _TAIL], 'completed', 'a\nb'),
-            ('no_text', [_NO_TEXT, _TAIL], 'completed', 'a\nb'),
+            (
+                'failed_twice',
+                [_FAILED, _FAILED, _COMPLETE],
+                'completed',
+                'a\nb',
+            ),
+            (
+                'not_executed_is_no_failure',
+                [_NOT_EXECUTED] * 4 + [_COMPLETE],
+                'completed',
+                'a\nb',
+            ),
+            (
+                'missing_event_resumes',
+                [_MISSING_EVENT, _TAIL],
+                'completed',
+                'a\nb',
+            ),
+            ('not_utf8', [_NOT_UTF8, _TAIL], 'completed', 'a\nb'),
         ],
     )
-    def test_ending(self, _name, answers, state, text):
+    def test_outcome(self, _name, answers, state, text):
         self.configure(answers)
         node = self.holding()
         self.assertEqual(202, self.submit(node))
         found = eventually(lambda: self.results(node), 5)
         self.assertEqual((state, text), (found[0]['state'], found[0]['text']))
 
-    def test_item_steps_aside_and_goes_on_behind_its_last_event(self):
+    def test_preempted_item_resumes_after_its_last_event(self):
         self.configure([CUT, _TAIL])
         node = self.holding()
         self.submit(node)
@@ -60,7 +77,7 @@
         self.assertEqual('a\nb', found[0]['text'])
         self.assertIn(b'Last-Event-Id: 1', self.engine.requests[1])
 
-    def test_results_larger_than_a_value(self):
+    def test_results_larger_than_a_stored_value(self):
         noise = random.Random(1)
         texts = [noise.randbytes(150_000).hex() for _item in range(5)]
         answers = [chunked(event(1, text)) for text in texts]
@@ -71,24 +88,26 @@
         response = self.call(node, 'GET', '/-/lots/j1?watch_after=4')
         self.assertEqual(1, len(json.loads(response.body)['results']))
 
-    def test_job_larger_than_a_value(self):
-        self.configure([_WHOLE] * 3)
+    def test_job_larger_than_a_stored_value(self):
+        self.configure([_COMPLETE] * 3)
         node = self.holding()
         large = job(items=3, size=600_000)
         self.assertEqual(202, self.submit(node, large))
         eventually(lambda: len(self.results(node)) == 3)
 
 
-class CallTest(OwnerCase):
-    """What calls about jobs get."""
+class JobRequestTest(OwnerCase):
+    """Responses to job requests."""
 
-    def test_same_job_twice(self):
+    def test_job_submitted_twice(self):
         self.configure()
         node = self.holding()
-        self.assertEqual([202, 202], [self.submit(node) for _again in range(2)])
+        self.assertEqual(
+            [202, 202], [self.submit(node) for _attempt in range(2)]
+        )
         self.assertEqual(1, len(node._keeper.boards[node_shard()].jobs))
 
-    @parameterized.expand([('fits', 30, 202), ('too_many', 29, 429)])
+    @parameterized.expand([('fits', 30, 202), ('exceeded', 29, 429)])
     def test_quota(self, _name, limit, status):
         self.configure(max_queued_tokens=limit)
         node = self.holding()
@@ -109,7 +128,7 @@
         self.store.trouble = Trouble.AWAY
         self.assertEqual(503, self.call(node, method, target).head.status)
 
-    def test_body_until_the_end(self):
+    def test_body_until_job_ends(self):
         self.configure()
         node = self.holding()
         self.submit(node)
@@ -118,10 +137,10 @@
         ended = self.call(node, 'DELETE', '/-/lots/j1')
         self.assertEqual(200, ended.head.status)
         eventually(lambda: not node._runner.running)
-        again = self.call(node, 'DELETE', '/-/lots/j1')
-        self.assertEqual(200, again.head.status)
+        repeated = self.call(node, 'DELETE', '/-/lots/j1')
+        self.assertEqual(200, repeated.head.status)
 
-    def test_store_away(self):
+    def test_store_unavailable(self):
         self.configure()
         node = self.holding()
         self.store.trouble = Trouble.AWAY
@@ -135,7 +154,7 @@
             ('late_effects', Trouble.LATE_EFFECTS),
         ],
     )
-    def test_unclear_write(self, _name, trouble):
+    def test_write_with_unknown_outcome(self, _name, trouble):
         self.configure()
         node = self.holding()
         self.store.trouble = trouble
@@ -145,8 +164,8 @@
         self.assertEqual(1, len(node._keeper.boards[node_shard()].jobs))
 
 
-class ValueTest(OwnerCase):
-    """Values of any bytes come back as they were written."""
+class StoredValueTest(OwnerCase):
+    """Stored values are read back byte for byte."""
 
     @parameterized.expand(
         [
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -1,4 +1,4 @@
-"""An owner's death does not lose how far its items have come."""
+"""Progress of batch items survives the loss of their owner."""
 
 import time
 import unittest
@@ -19,50 +19,50 @@
 from tests.gateway_cases import OwnerCase, job, node_shard
 from tests.gateway_standins import ProcessLife, chunked, event, eventually
 
-_CUT = chunked(event(1, 'a'), event(2, 'b'), last=False)
-_TAIL = chunked(event(3, 'c'))
+_INCOMPLETE = chunked(event(1, 'a'), event(2, 'b'), last=False)
+_REMAINDER = chunked(event(3, 'c'))
 
 
-class SuccessorTest(OwnerCase):
-    """Another owner goes on behind the last event that was kept."""
+class NextOwnerTest(OwnerCase):
+    """The next owner resumes items after the last saved event."""
 
-    def deaf(self, *nodes):
-        """Have owners hear nothing of each other."""
+    def isolate(self, *nodes):
+        """Hide owners from each other."""
         for node in nodes:
             node.peers.claims.claimed = lambda _shard: 0
             node.peers.claims.able_owners = list
 
     def run_first_events(self, node):
-        """Have an owner run an item whose engine stops after two events."""
+        """Run an item whose engine stops after two events."""
         self.submit(node)
         eventually(lambda: len(self.engine.requests) == 1)
 
-    def assert_goes_on(self, node):
-        """Check that an owner asks for the rest alone and has the whole."""
-        found = eventually(lambda: self.results(node), 5)
-        self.assertEqual('a\nb\nc', found[0]['text'])
+    def assert_resumes(self, node):
+        """Check that an owner requests only the missing events."""
+        results = eventually(lambda: self.results(node), 5)
+        self.assertEqual('a\nb\nc', results[0]['text'])
         self.assertIn(b'Last-Event-Id: 2', self.engine.requests[-1])
 
-    def test_owner_that_is_lost(self):
-        self.configure([_CUT, _TAIL])
+    def test_lost_owner(self):
+        self.configure([_INCOMPLETE, _REMAINDER])
         first = self.holding()
         self.run_first_events(first)
         board = first._keeper.boards[node_shard()]
         eventually(lambda: board.jobs['j1'].state.kept)
         second = self.owner('owner-2')
-        self.deaf(first, second)
+        self.isolate(first, second)
         eventually(lambda: len(second._keeper.boards) == 4, 5)
-        self.assert_goes_on(second)
+        self.assert_resumes(second)
 
-    @parameterized.expand([('stops', False), ('is_emptied', True)])
-    def test_owner_that_leaves_keeps_its_latest(self, _name, ordered):
-        self.configure([_CUT, _TAIL])
+    @parameterized.expand([('stopped', False), ('retired', True)])
+    def test_leaving_owner_saves_progress(self, _name, ordered):
+        self.configure([_INCOMPLETE, _REMAINDER])
         first = self.holding()
         second = self.owner('owner-2')
         eventually(second.peers.claims.able_owners)
         self.run_first_events(first)
-        held = first._keeper.boards[node_shard()].jobs['j1']
-        eventually(lambda: held.progress['i0'].last_event == 2)
+        running = first._keeper.boards[node_shard()].jobs['j1']
+        eventually(lambda: running.progress['i0'].last_event == 2)
         if ordered:
             order = {'duration_s': 5}
             self.store.set('retirements', 'owner-1', order)
@@ -70,22 +70,22 @@
             first.leaving = True
             gevent.spawn(first.leave)
         eventually(lambda: len(second._keeper.boards) == 4, 4)
-        self.assert_goes_on(second)
+        self.assert_resumes(second)
 
-    def test_job_that_comes_in_while_progress_is_saved(self):
+    def test_job_submitted_while_progress_is_saved(self):
         self.configure([])
         first = self.holding()
         second = self.owner('owner-2')
         eventually(second.peers.claims.able_owners)
         first.leaving = True
-        held = dict(first._keeper.boards)
-        board = held.pop(node_shard())
+        boards = dict(first._keeper.boards)
+        board = boards.pop(node_shard())
 
         def accept(_within):
             board._accepting['j1'] = gevent.event.Event()
 
         def hand_over():
-            # It waits where no other owner is heard at the moment.
+            # Nothing is handed over while no report of another owner is recent.
             first._keeper.hand_over()
             return len(first._keeper.boards) <= 1
 
@@ -95,8 +95,8 @@
         board._accepting.clear()
         eventually(lambda: hand_over() and not first._keeper.boards)
 
-    def test_item_that_ends_is_kept_no_more(self):
-        self.configure([_CUT, _TAIL])
+    def test_progress_of_finished_item_is_dropped(self):
+        self.configure([_INCOMPLETE, _REMAINDER])
         node = self.holding()
         self.run_first_events(node)
         state = node._keeper.boards[node_shard()].jobs['j1'].state
@@ -107,39 +107,39 @@
         eventually(lambda: self.results(node))
         self.assertEqual({}, state.kept)
 
-    def test_writes_are_few(self):
-        """An item that runs costs about one write a second."""
+    def test_write_rate(self):
+        """Running items take about one write a second."""
         self.configure([])
         node = self.holding()
         self.submit(node, job(items=2))
         eventually(lambda: len(self.engine.requests) == 2)
         board = node._keeper.boards[node_shard()]
-        progress = list(board.jobs['j1'].progress.values())
+        items = list(board.jobs['j1'].progress.values())
         commit = board._log.commit
         with mock.patch.object(board._log, 'commit', wraps=commit) as counted:
-            began = time.monotonic()
+            started_at = time.monotonic()
             for number in range(50):
-                for one in progress:
-                    add(one, number)
+                for progress in items:
+                    add(progress, number)
                 gevent.sleep(0.05)
-            seconds = time.monotonic() - began
+            seconds = time.monotonic() - started_at
         self.assertGreater(counted.call_count, 1)
         self.assertLessEqual(counted.call_count, seconds + 1)
 
 
 def add(progress, number, text='x'):
-    """Let one more event of an item come."""
+    """Add an event to the progress of an item."""
     progress.texts.append(text)
     progress.last_event = number
 
 
 def item(name='i1'):
-    """Make an item."""
+    """Return an item."""
     return JobItem(ItemId(name), '/x/1', {}, b'', 1)
 
 
-def held(*names):
-    """Make a held job of some items."""
+def owned_job(*names):
+    """Return an owned job with the named items."""
     accepted = DirectJobAccepted(
         job='j1', host='a', path='/', accepted_at=1, total=9, tokens=1
     )
@@ -148,34 +148,34 @@
 
 
 class ProgressTest(unittest.TestCase):
-    """What of one item is handed to the log."""
+    """Records of the progress of one item."""
 
     @parameterized.expand(
         [
             ('all', 99, [(-1, 4, 'aa\nbb\ncc')]),
-            ('as_much_as_fits', 5, [(-1, 3, 'aa\nbb'), (3, 4, 'cc')]),
+            ('up_to_the_limit', 5, [(-1, 3, 'aa\nbb'), (3, 4, 'cc')]),
             (
-                'one_at_least',
+                'at_least_one_event',
                 1,
                 [(-1, 2, 'aa'), (2, 3, 'bb'), (3, 4, 'cc')],
             ),
         ]
     )
-    def test_taken(self, _name, most, expected):
+    def test_take(self, _name, limit, expected):
         progress = Progress(item())
         for number, text in enumerate(('aa', 'bb', 'cc'), 2):
             add(progress, number, text)
         taken = []
         texts = []
         while progress.not_kept:
-            one = progress.take(most)
-            taken.append((one.after, one.last_event, one.text))
-            texts.append(one.text)
+            record = progress.take(limit)
+            taken.append((record.after, record.last_event, record.text))
+            texts.append(record.text)
         self.assertEqual(expected, taken)
         self.assertEqual('aa\nbb\ncc', '\n'.join(progress.texts))
-        # What is handed over is held once.
-        for kept, one in zip(progress.texts, texts, strict=True):
-            self.assertIs(kept, one)
+        # The progress and the records share the texts.
+        for kept, text in zip(progress.texts, texts, strict=True):
+            self.assertIs(kept, text)
 
     def test_restored(self):
         kept = KeptProgress()
@@ -188,102 +188,100 @@
             (progress.last_event, progress.not_kept, progress.spent),
         )
         add(progress, 8, 'c')
-        one = progress.take(99)
-        self.assertEqual((7, 8, 'c'), (one.after, one.last_event, one.text))
+        record = progress.take(99)
+        self.assertEqual(
+            (7, 8, 'c'), (record.after, record.last_event, record.text)
+        )
         self.assertEqual('a\nb\nc', '\n'.join(progress.texts))
 
-    def test_time_of_the_run_under_way_counts(self):
+    def test_current_run_counts(self):
         progress = Progress(item())
         progress.begin()
         gevent.sleep(0.02)
         self.assertGreater(progress.spent, 0.01)
         progress.pause()
-        rested = progress.spent
+        paused = progress.spent
         gevent.sleep(0.02)
-        self.assertEqual(rested, progress.spent)
+        self.assertEqual(paused, progress.spent)
 
 
 class ProgressLogTest(unittest.TestCase):
-    """What of a shard's items is handed to the log, and when."""
+    """Which progress of a shard's items is written, and when."""
 
-    def test_what_lacks_most_goes_first(self):
-        job_held = held('i1', 'i2')
-        add(job_held.progress['i1'], 0, 'x' * 150_000)
+    def test_most_unsaved_texts_go_first(self):
+        owned = owned_job('i1', 'i2')
+        add(owned.progress['i1'], 0, 'x' * 150_000)
         for number in range(3):
-            add(job_held.progress['i2'], number, 'y' * 40_000)
-        log = ProgressLog({JobId('j1'): job_held}, float)
-        turns = [
-            [(one.item, one.last_event) for one in record.progress]
+            add(owned.progress['i2'], number, 'y' * 40_000)
+        log = ProgressLog({JobId('j1'): owned}, float)
+        records = [
+            [(events.item, events.last_event) for events in record.progress]
             for record in log.take() + log.take()
         ]
-        self.assertEqual([[('i2', 2), ('i1', 0)]], turns)
+        self.assertEqual([[('i2', 2), ('i1', 0)]], records)
 
-    def test_one_turn_is_bounded(self):
-        names = [f'i{at}' for at in range(9)]
-        job_held = held(*names)
-        for progress in job_held.progress.values():
+    def test_size_limit(self):
+        names = [f'i{number}' for number in range(9)]
+        owned = owned_job(*names)
+        for progress in owned.progress.values():
             add(progress, 0, 'x' * 90_000)
-        log = ProgressLog({JobId('j1'): job_held}, float)
+        log = ProgressLog({JobId('j1'): owned}, float)
         counts = []
-        while any(one.not_kept for one in job_held.progress.values()):
+        while any(progress.not_kept for progress in owned.progress.values()):
             counts.append(len(log.take()[0].progress))
         self.assertEqual([3, 3, 3], counts)
 
     @parameterized.expand([('finished', False), ('job_ended', True)])
-    def test_not_kept_any_more(self, _name, ended):
-        job_held = held('i1')
-        add(job_held.progress['i1'], 0)
+    def test_nothing_to_save(self, _name, ended):
+        owned = owned_job('i1')
+        add(owned.progress['i1'], 0)
         if ended:
-            job_held.state.end()
+            owned.state.end()
         else:
-            job_held.progress['i1'].finished = True
-        log = ProgressLog({JobId('j1'): job_held}, float)
+            owned.progress['i1'].finished = True
+        log = ProgressLog({JobId('j1'): owned}, float)
         self.assertEqual([], log.take())
 
     @parameterized.expand(
         [
             ('at_once', 0.01, 0.1, 0, False),
-            ('along', 0.01, 0.5, 1, False),
-            ('alone', 0.01, 1.1, 1, True),
-            # Acceptances wait for the write under way.
+            ('piggybacked', 0.01, 0.5, 1, False),
+            ('own_write', 0.01, 1.1, 1, True),
+            # New jobs wait for the write under way.
             ('slow_writes', 0.5, 4.9, 0, False),
-            ('seldom_beside_slow_writes', 0.4, 4.1, 1, True),
-            ('in_the_end_whatever_they_take', 3, 5.1, 1, True),
+            ('own_write_beside_slow_writes', 0.4, 4.1, 1, True),
+            ('longest_interval', 3, 5.1, 1, True),
         ]
     )
-    def test_rate(self, _name, written_in, rested, along, due):
-        job_held = held('i1')
+    def test_rate(self, _name, write_seconds, elapsed, along, due):
+        owned = owned_job('i1')
         with mock.patch('bendlead_gateway._jobs.progress.clock') as clock:
             clock.uptime.return_value = 50
-            log = ProgressLog({JobId('j1'): job_held}, lambda: written_in)
-            add(job_held.progress['i1'], 0)
+            log = ProgressLog({JobId('j1'): owned}, lambda: write_seconds)
+            add(owned.progress['i1'], 0)
             log.take()
-            add(job_held.progress['i1'], 1)
-            clock.uptime.return_value += rested
+            add(owned.progress['i1'], 1)
+            clock.uptime.return_value += elapsed
             self.assertEqual(due, log.due)
             self.assertEqual(along, len(log.along()))
             self.assertFalse(log.due)
 
 
 class FailuresTest(OwnerCase):
-    """An item that fails at each run, under owners that are lost.
-
-    Each owner counted the failures that it saw itself, so an item could fail
-    three times under every one of them.
-    """
+    """Failures of an item are counted over all its owners."""
 
-    def test_failures_count_over_owners(self):
+    def test_failures_under_two_owners(self):
         failed = b'HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n'
         self.configure([failed, failed])
-        life = ProcessLife()
-        first = life.start(self.holding)
+        process = ProcessLife()
+        first = process.start(self.holding)
         self.submit(first)
         eventually(lambda: len(self.engine.requests) == 3)
-        # The third run is under way; the log has the two before.
+        # The third run is under way; let the first two failures be saved.
         gevent.sleep(1.5)
-        life.end()
+        process.end()
         self.configure([failed] * 3)
         second = self.holding('owner-2')
-        done = eventually(lambda: self.results(second), 8)
-        self.assertEqual(['dead_lettered'], [one['state'] for one in done])
+        results = eventually(lambda: self.results(second), 8)
+        self.assertEqual(['dead_lettered'], [item['state'] for item in results])
         self.assertEqual(1, len(self.engine.requests))
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -1,4 +1,4 @@
-"""Jobs that move between owners, and calls passed on to their owner."""
+"""Takeover of jobs by another owner, and relay of requests to owners."""
 
 import unittest
 
@@ -21,41 +21,41 @@
     settings,
 )
 
-_WHOLE = chunked(event(1, 'a'), event(2, 'b'))
+_COMPLETE = chunked(event(1, 'a'), event(2, 'b'))
 
 
 class TakeoverTest(OwnerCase):
-    """Another owner goes on with the jobs of one that is lost."""
+    """Another owner continues the jobs of a lost one."""
 
     def test_results_keep_their_positions(self):
-        self.configure([_WHOLE])
+        self.configure([_COMPLETE])
         first = self.holding()
         self.submit(first, job(items=2))
-        before = eventually(lambda: self.results(first))
+        results = eventually(lambda: self.results(first))
         second = self.owner('owner-2')
-        # The second hears nothing of the first, as when the two are cut.
+        # Neither owner has reports of the other, as in a network partition.
         second.peers.claims.claimed = lambda _shard: 0
         second.peers.claims.able_owners = list
         first.peers.claims.claimed = lambda _shard: 0
         eventually(lambda: len(second._keeper.boards) == 4, 5)
-        self.assertEqual(before, self.results(second))
+        self.assertEqual(results, self.results(second))
         response = eventually(
             lambda: self.call(first, 'GET', '/-/lots/j1').head.status == 503,
             5,
         )
         self.assertTrue(response)
 
-    def test_owner_that_the_store_turns_away_is_replaced(self):
+    def test_owner_refused_by_the_store_is_replaced(self):
         first, second = self.two_owners()
-        # The held watches of the first live on; its new calls are refused.
-        self._turn_away(first)
+        # Open watches of the first stay up; its writes are refused.
+        self._refuse_writes(first)
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
-        # Some 4 s on an idle machine; the shards are taken one by one.
+        # Shards are taken over one after the other.
         eventually(lambda: len(second._keeper.boards) == 4, 15)
         self.assertIn('j1', second._keeper.boards[node_shard()].jobs)
         eventually(lambda: not first._keeper.boards, 2)
 
-    def test_store_down_for_all_moves_nothing(self):
+    def test_store_outage_moves_no_shards(self):
         first, second = self.two_owners()
         epochs = first._keeper.epochs()
         self.store.trouble = Trouble.AWAY
@@ -66,13 +66,15 @@
         self.assertEqual(epochs, first._keeper.epochs())
         self.assertEqual({}, second._keeper.epochs())
 
-    @parameterized.expand([('watches_end', True), ('watches_live_on', False)])
-    def test_holder_that_returns_a_moment_later(self, _name, watches_end):
-        """What it holds in memory would run again at another owner."""
+    @parameterized.expand([('watches_end', True), ('watches_stay_up', False)])
+    def test_owner_that_recovers_shortly_after_the_store(
+        self, _name, watches_end
+    ):
+        """It keeps its shards: another owner would repeat unsaved work."""
         first, second = self.two_owners()
         epochs = first._keeper.epochs()
         put = first.store.put
-        self._turn_away(first)
+        self._refuse_writes(first)
         self.store.trouble = Trouble.AWAY
         if watches_end:
             self.store.forget_history()
@@ -86,28 +88,32 @@
         self.assertEqual(epochs, first._keeper.epochs())
         self.assertEqual({}, second._keeper.epochs())
 
-    @parameterized.expand([('the_same', 'owner-1'), ('of_two', 'owner-2')])
-    def test_owners_that_start_again_hold_their_shards_soon(self, _name, other):
-        """Callers of their jobs have no owner until then."""
+    @parameterized.expand(
+        [('same_owner', 'owner-1'), ('two_owners', 'owner-2')]
+    )
+    def test_restarted_owners_take_their_shards_quickly(self, _name, other):
+        """Clients cannot reach their jobs until then."""
         self.configure()
-        self.hold_and_end()
-        began = clock.uptime()
-        again = [self.owner('owner-1')]
+        self.run_first_owner()
+        started_at = clock.uptime()
+        restarted = [self.owner('owner-1')]
         if other != 'owner-1':
-            again.append(self.owner(other))
-        eventually(lambda: sum(len(one._keeper.boards) for one in again) == 4)
-        self.assertLess(clock.uptime() - began, 0.6)
+            restarted.append(self.owner(other))
+        eventually(
+            lambda: sum(len(owner._keeper.boards) for owner in restarted) == 4
+        )
+        self.assertLess(clock.uptime() - started_at, 0.6)
 
-    def test_shards_of_an_owner_that_is_not_heard_wait(self):
-        """It may live and be cut off for a moment."""
+    def test_takeover_waits_for_an_owner_without_report(self):
+        """It may be alive and briefly unreachable."""
         self.configure()
-        self.hold_and_end()
+        self.run_first_owner()
         second = self.owner('owner-2')
         gevent.sleep(0.5)
         self.assertFalse(second._keeper.boards)
         eventually(lambda: len(second._keeper.boards) == 4)
 
-    def test_leaving_owner_hands_over_at_once(self):
+    def test_leaving_owner_hands_over_immediately(self):
         first, second = self.two_owners()
         first.leaving = True
         gevent.spawn(first.leave)
@@ -115,39 +121,41 @@
         self.assertEqual(202, self.submit(second))
         self.assertIn('j1', second._keeper.boards[node_shard()].jobs)
 
-    def hold_and_end(self):
-        """Have an owner hold all shards, and end with all its tasks."""
+    def run_first_owner(self):
+        """Run an owner until it has all shards, then end all its tasks."""
         tasks = Tasks()
         self.holding('owner-1')
         tasks.end()
 
-    def _turn_away(self, owner):
-        """Have the store refuse the writes of an owner."""
+    def _refuse_writes(self, owner):
+        """Make all writes of an owner fail."""
         refused = Err(Failure(FailureKind.NOT_DONE, 'put', 'store', 'busy'))
         owner.store.put = lambda *_call: refused
 
 
-class ForwardedCallTest(OwnerCase):
-    """An entry that does not hear the owner asks one that does."""
+class ForwardedRequestTest(OwnerCase):
+    """An entry without a report of the owner forwards to one that has it."""
 
     def entry(self, name):
         """Start an entry."""
-        made = settings(name, NodeRole.ENTRY, self.store.address)
-        store = PlatformStore(made.store_address)
-        node = EntryNode(made, store, PlatformDialect())
+        node_settings = settings(name, NodeRole.ENTRY, self.store.address)
+        store = PlatformStore(node_settings.store_address)
+        node = EntryNode(node_settings, store, PlatformDialect())
         node.serve()
         return node
 
-    def ask(self, entry, method, target, body=b''):
-        """Call an entry as a client does."""
+    def request(self, entry, method, target, body=b''):
+        """Send a client's request to an entry; return the status."""
         connection = HttpConnection(entry.settings.clients_address, 1)
         self.addCleanup(connection.close)
         headers = [('Host', 'a.example'), ('X-Attempt-Id', 'j1')]
-        answered = connection.request(method, target, headers, body, 3)
-        return answered.head.status
+        response = connection.request(method, target, headers, body, 3)
+        return response.head.status
 
-    @parameterized.expand([('another_hears_it', True), ('nobody_does', False)])
-    def test_call(self, _name, heard):
+    @parameterized.expand(
+        [('another_entry_has_report', True), ('no_entry_has', False)]
+    )
+    def test_forwarding(self, _name, known):
         self.configure()
         owner = self.holding()
         entries = [self.entry(name) for name in ('entry-1', 'entry-2')]
@@ -157,19 +165,19 @@
             )
             eventually(lambda node=entry: node.fleet.configuration.known)
         eventually(lambda: entries[0].peers.claims.way_to(node_shard()))
-        for entry in entries[: 1 if heard else 2]:
+        for entry in entries[: 1 if known else 2]:
             entry.peers.claims.holder = lambda _shard: None
-        status = self.ask(entries[0], 'POST', '/x/', job())
-        self.assertEqual(202 if heard else 503, status)
-        status = self.ask(entries[0], 'GET', '/-/lots/j1')
-        self.assertEqual(200 if heard else 503, status)
-        self.assertEqual(heard, 'j1' in owner._keeper.boards[node_shard()].jobs)
+        status = self.request(entries[0], 'POST', '/x/', job())
+        self.assertEqual(202 if known else 503, status)
+        status = self.request(entries[0], 'GET', '/-/lots/j1')
+        self.assertEqual(200 if known else 503, status)
+        self.assertEqual(known, 'j1' in owner._keeper.boards[node_shard()].jobs)
 
 
 class RetirementTest(OwnerCase):
-    """An owner that is to be emptied says when it is."""
+    """A retiring owner reports completion once it is drained."""
 
-    def test_shards_move_before_it_says_so(self):
+    def test_shards_are_given_up_before_completion(self):
         first, second = self.two_owners()
         self.store.set('retirements', 'owner-1', {'duration_s': 5})
         status = eventually(
