--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -8,12 +8,12 @@
 
 from bendlead_gateway._fleet.catalog import ConfigurationHolder
 from bendlead_gateway._http.messages import Request, Responder
-from bendlead_gateway._jobs.board import Board
-from bendlead_gateway._jobs.held import HeldJob
-from bendlead_gateway._jobs.keeper import ShardKeeper
+from bendlead_gateway._jobs.owned_job import OwnedJob
+from bendlead_gateway._jobs.owned_shard import OwnedShard
 from bendlead_gateway._jobs.runner import ItemRunner
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._jobs.shards import shard_of
-from bendlead_gateway._jobs.told_team import told_team
+from bendlead_gateway._jobs.team_header import read_team
 from bendlead_gateway._log import Log
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
@@ -49,7 +49,7 @@
 
     def __init__(
         self,
-        keeper: ShardKeeper,
+        keeper: ShardManager,
         runner: ItemRunner,
         configuration: ConfigurationHolder,
         dialect: Dialect,
@@ -75,10 +75,10 @@
         elif call is None:
             self._submit(request, responder, board)
         else:
-            self._serve_call(call, responder, board, told_team(request.headers))
+            self._serve_call(call, responder, board, read_team(request.headers))
 
     def _submit(
-        self, request: Request, responder: Responder, board: Board
+        self, request: Request, responder: Responder, board: OwnedShard
     ) -> None:
         submission = self._dialect.submission(
             request.target, request.headers, request.body
@@ -86,7 +86,7 @@
         if submission is None:
             responder.answer(HTTPStatus.BAD_REQUEST)
             return
-        submission = replace(submission, team=told_team(request.headers))
+        submission = replace(submission, team=read_team(request.headers))
         route = self._configuration.match(submission.host, request.path)
         if route is None or route.kind is not RouteKind.BATCH:
             self._respond(
@@ -174,7 +174,7 @@
         self,
         call: JobCall,
         responder: Responder,
-        board: Board,
+        board: OwnedShard,
         team: TeamName,
     ) -> None:
         confirmed = board.sure(self._max_ownership_age)
@@ -208,8 +208,8 @@
         self,
         call: ReadResults,
         responder: Responder,
-        board: Board,
-        job: HeldJob,
+        board: OwnedShard,
+        job: OwnedJob,
     ) -> None:
         deadline = clock.uptime() + call.wait
         while len(job.state.results) <= call.after and job.state.open:
@@ -227,7 +227,7 @@
         responder.answer(HTTPStatus.OK, _JSON, body)
 
     def _read_body(
-        self, call: ReadBody, responder: Responder, job: HeldJob
+        self, call: ReadBody, responder: Responder, job: OwnedJob
     ) -> None:
         body = None if job.state.ended else job.body(call.item)
         if body is None:
@@ -236,7 +236,7 @@
             responder.answer(HTTPStatus.OK, (), body)
 
     def _end_job(
-        self, responder: Responder, board: Board, job: HeldJob
+        self, responder: Responder, board: OwnedShard, job: OwnedJob
     ) -> None:
         ended = board.end(job)
         self._runner.wake()
@@ -247,7 +247,9 @@
         responder.answer(status, () if ended.is_ok() else _RETRY_AFTER)
 
 
-def _excess_tokens(board: Board, submission: Submission, route: Route) -> int:
+def _excess_tokens(
+    board: OwnedShard, submission: Submission, route: Route
+) -> int:
     """Count the tokens by which a job would exceed the queue limit."""
     limit = route.max_waiting_tokens
     if not limit:
@@ -256,7 +258,7 @@
     return waiting + submission.tokens - limit
 
 
-def _team_of(board: Board, job: JobId) -> TeamName | None:
+def _team_of(board: OwnedShard, job: JobId) -> TeamName | None:
     """Return the team of an accepted or pending job, None if there is none."""
     accepted = board.jobs.get(job)
     return accepted.team if accepted else board.pending.team_of(job)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/work.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
@@ -4,20 +4,20 @@
 
 from bendlead_store import clock
 
-from bendlead_gateway._jobs.keeper import ShardKeeper
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._scheduling.urgency import (
     UPDATE_INTERVAL_SECONDS,
     ItemDurations,
 )
 
 
-class WorkWatch:
+class BacklogMonitor:
     """Report the remaining work of all unfinished items now and then.
 
     Counting it is too slow for each scheduling round.
     """
 
-    def __init__(self, keeper: ShardKeeper, durations: ItemDurations) -> None:
+    def __init__(self, keeper: ShardManager, durations: ItemDurations) -> None:
         self._keeper = keeper
         self._durations = durations
         self._next_update_at = 0.0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -7,9 +7,9 @@
 from msgspec import Struct
 
 from bendlead_gateway._fleet.fleet import Fleet
-from bendlead_gateway._jobs.board import Board
-from bendlead_gateway._jobs.held import HeldJob, Progress
-from bendlead_gateway._jobs.keeper import ShardKeeper
+from bendlead_gateway._jobs.owned_job import OwnedJob, Progress
+from bendlead_gateway._jobs.owned_shard import OwnedShard
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.deferral import ItemTiming, item_timing
 from bendlead_gateway._scheduling.fair_order import FairOrder, ItemCost
@@ -22,17 +22,17 @@
 _QUARANTINE_RECHECK_SECONDS = 0.5
 
 #: Record an item as given up; it does not run again.
-GiveUp = Callable[[Board, HeldJob, Progress], None]
+GiveUp = Callable[[OwnedShard, OwnedJob, Progress], None]
 
-_Waiting = tuple[Board, HeldJob, Progress]
+_Waiting = tuple[OwnedShard, OwnedJob, Progress]
 
 
 class Candidate(Struct, frozen=True):
     """An item that is ready to start, with its rank."""
 
     urgency: Urgency
-    board: Board
-    job: HeldJob
+    board: OwnedShard
+    job: OwnedJob
     progress: Progress
     route: Route
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        keeper: ShardKeeper,
+        keeper: ShardManager,
         fleet: Fleet,
         pace: ItemDurations,
         metrics: Metrics,
@@ -107,7 +107,7 @@
         return self._pace.left(progress.spent)
 
     def wait_cost(
-        self, job: HeldJob, progress: Progress, route: Route
+        self, job: OwnedJob, progress: Progress, route: Route
     ) -> ItemTiming:
         """Return whether waiting would cost an item its target."""
         return item_timing(
@@ -119,7 +119,7 @@
         )
 
     def urgency(
-        self, job: HeldJob, progress: Progress, route: Route
+        self, job: OwnedJob, progress: Progress, route: Route
     ) -> Urgency:
         """Compute the urgency of one item."""
         accepted_at = job.state.accepted.accepted_at
@@ -139,7 +139,7 @@
                     yield board, job, progress
 
     def _give_up_unrouted(
-        self, board: Board, job: HeldJob, progress: Progress
+        self, board: OwnedShard, job: OwnedJob, progress: Progress
     ) -> None:
         """Give up an item whose route is gone.
 
@@ -149,14 +149,14 @@
         if self._fleet.config_watch.current and self._fleet.configuration.known:
             self._give_up(board, job, progress)
 
-    def _quarantined(self, job: HeldJob, progress: Progress) -> bool:
+    def _quarantined(self, job: OwnedJob, progress: Progress) -> bool:
         remaining_seconds = self._fleet.suspects.quarantine_left(
             lambda: job.digest(progress), ITEM_SECONDS
         )
         return remaining_seconds > 0
 
     def _postpone_quarantined(
-        self, board: Board, job: HeldJob, progress: Progress, route: Route
+        self, board: OwnedShard, job: OwnedJob, progress: Progress, route: Route
     ) -> None:
         """Postpone a quarantined item; give it up if it has no retention."""
         self._metrics.quarantined += 1
@@ -166,7 +166,7 @@
             self._give_up(board, job, progress)
 
 
-def job_age_seconds(job: HeldJob) -> float:
+def job_age_seconds(job: OwnedJob) -> float:
     """Return the seconds since a job was accepted."""
     return time.time() - job.state.accepted.accepted_at
 
@@ -175,7 +175,7 @@
     return candidate.urgency
 
 
-def _expired(job: HeldJob, route: Route) -> bool:
+def _expired(job: OwnedJob, route: Route) -> bool:
     if not route.retention:
         return False
     return job_age_seconds(job) > route.retention + _RETENTION_SLACK_SECONDS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -8,8 +8,8 @@
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import HttpConnection, ResponseHead
-from bendlead_gateway._jobs.board import Board
-from bendlead_gateway._jobs.held import ITEM_METHOD, HeldJob, Progress
+from bendlead_gateway._jobs.owned_job import ITEM_METHOD, OwnedJob, Progress
+from bendlead_gateway._jobs.owned_shard import OwnedShard
 from bendlead_gateway._online.events import EventSplitter, StreamEvent
 from bendlead_gateway._suspects.digest import RequestDigest
 from bendlead_gateway.dialect import Dialect
@@ -37,8 +37,8 @@
     """A run of an item, which can be stopped from another greenlet."""
 
     engine: Engine
-    board: Board
-    job: HeldJob
+    board: OwnedShard
+    job: OwnedJob
     progress: Progress
     route: Route
     connection: HttpConnection | None = None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/held.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
@@ -151,7 +151,7 @@
         return record
 
 
-class HeldJob:
+class OwnedJob:
     """A job: its durable state and the progress of its items.
 
     ``changed`` is set and replaced whenever results are published.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/board.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
@@ -33,9 +33,9 @@
 from gevent.pool import Pool
 from result import Err, Ok, Result
 
-from bendlead_gateway._jobs.held import HeldJob
+from bendlead_gateway._jobs.owned_job import OwnedJob
 from bendlead_gateway._jobs.pending import PendingJobs
-from bendlead_gateway._jobs.progress import ProgressLog
+from bendlead_gateway._jobs.progress import ProgressWriter
 from bendlead_gateway.types import (
     ItemId,
     ItemOutcome,
@@ -65,7 +65,7 @@
 _CONCURRENT_READS = 4
 
 
-class Board:
+class OwnedShard:
     """Accept, record and end the jobs of one shard.
 
     ``retention`` is how long (s) after its acceptance a job stays readable.
@@ -89,8 +89,8 @@
         self._confirmation: Event | None = None
         self._accepting: dict[JobId, Event] = {}
         self.pending = PendingJobs()
-        self.jobs: dict[JobId, HeldJob] = {}
-        self._progress = ProgressLog(
+        self.jobs: dict[JobId, OwnedJob] = {}
+        self._progress = ProgressWriter(
             self.jobs, lambda: self._committer.last_write_seconds
         )
         self._committer = Committer(
@@ -149,7 +149,7 @@
         for state, read in zip(jobs, reads, strict=True):
             if isinstance(read, Err):
                 return read
-            job = HeldJob(state, read.ok_value)
+            job = OwnedJob(state, read.ok_value)
             self.jobs[job.job] = job
         return Ok(None)
 
@@ -213,7 +213,9 @@
             self.pending.drop(submission.job)
         return accepted
 
-    def record(self, job: HeldJob, result: ItemResult) -> Result[None, Failure]:
+    def record(
+        self, job: OwnedJob, result: ItemResult
+    ) -> Result[None, Failure]:
         """Commit the result of an item, then publish it to readers."""
         record = DirectResultsRecorded(
             job=job.job,
@@ -231,7 +233,7 @@
         job.announce()
         return Ok(None)
 
-    def end(self, job: HeldJob) -> Result[None, Failure]:
+    def end(self, job: OwnedJob) -> Result[None, Failure]:
         """Commit the end of a job, unless it has ended."""
         if job.state.ended:
             return Ok(None)
@@ -298,16 +300,16 @@
     def _add_job(self, submission: Submission) -> None:
         if submission.job not in self.jobs:
             state = self._state.direct[submission.job]
-            self.jobs[submission.job] = HeldJob(state, submission.items)
+            self.jobs[submission.job] = OwnedJob(state, submission.items)
 
 
-def open_board(
+def take_over_shard(
     store: ValueStore,
     shard: int,
     owner: Owner,
     retention: float,
     on_lost: Callable[[], None],
-) -> Result[Board, Failure]:
+) -> Result[OwnedShard, Failure]:
     """Take over a shard and load its jobs."""
     settings = LedgerSettings(tail_bytes=_TAIL_BYTES, segments=_MAX_SEGMENTS)
     log = ShardLog(store, ShardId(shard), owner, settings)
@@ -315,7 +317,7 @@
     if isinstance(taken, Err):
         return taken
     state = taken.ok_value
-    board = Board(store, ShardId(shard), log, state, retention, on_lost)
+    board = OwnedShard(store, ShardId(shard), log, state, retention, on_lost)
     loaded = board.load()
     if isinstance(loaded, Err):
         board.close()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
@@ -10,7 +10,7 @@
 )
 from bendlead_store import clock
 
-from bendlead_gateway._jobs.held import HeldJob, Progress
+from bendlead_gateway._jobs.owned_job import OwnedJob, Progress
 from bendlead_gateway.types import JobId
 
 #: Shortest interval at which other writes carry progress: each later write
@@ -31,7 +31,7 @@
 _UnsavedItem = tuple[JobId, Progress]
 
 
-class ProgressLog:
+class ProgressWriter:
     """Produce the log records of progress that is not saved yet.
 
     ``write_seconds`` returns the duration of the last write to the log.
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        jobs: Mapping[JobId, HeldJob],
+        jobs: Mapping[JobId, OwnedJob],
         write_seconds: Callable[[], float],
     ) -> None:
         self._jobs = jobs
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
@@ -11,7 +11,7 @@
 from bendlead_gateway._http.client import HttpConnection, Response
 from bendlead_gateway._http.messages import Request, Responder
 from bendlead_gateway._jobs.shards import shard_of
-from bendlead_gateway._jobs.told_team import tell_team
+from bendlead_gateway._jobs.team_header import set_team
 from bendlead_gateway._log import Log
 from bendlead_gateway._online.relay import end_to_end_headers
 from bendlead_gateway.dialect import Dialect
@@ -53,7 +53,7 @@
         """Relay a client's request to the owner, with the name of its team."""
         relayed = replace(
             request,
-            headers=tell_team(
+            headers=set_team(
                 self._dialect.without_key(request.headers),
                 team.name if team else TeamName(''),
             ),
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/retirement.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/retirement.py
@@ -6,7 +6,7 @@
 from bendlead_store import Change, Entry, FollowedStore, clock
 from result import Err, Ok
 
-from bendlead_gateway._jobs.keeper import ShardKeeper
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._log import Log
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import NodeName, StopOrder
@@ -30,7 +30,7 @@
         node: NodeName,
         store: FollowedStore,
         dialect: Dialect,
-        keeper: ShardKeeper,
+        keeper: ShardManager,
         log: Log,
         on_order: Callable[[], None],
         finish_calls: Callable[[], None],
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -8,7 +8,7 @@
 from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
 from bendlead_gateway._jobs.candidates import Candidates
 from bendlead_gateway._jobs.item_run import ItemRun
-from bendlead_gateway._jobs.keeper import ShardKeeper
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.deferral import ItemTiming
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        keeper: ShardKeeper,
+        keeper: ShardManager,
         candidates: Candidates,
         fleet: Fleet,
         states: HoldBackStates,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -13,18 +13,18 @@
     classify_status,
 )
 from bendlead_gateway._health.observation import FailureKind
+from bendlead_gateway._jobs.backlog_monitor import BacklogMonitor
 from bendlead_gateway._jobs.batch_capacity import BatchCapacity, HoldBackStates
-from bendlead_gateway._jobs.board import Board
 from bendlead_gateway._jobs.candidates import Candidate, Candidates
-from bendlead_gateway._jobs.held import HeldJob, Progress
 from bendlead_gateway._jobs.item_run import (
     ItemExecutor,
     ItemRun,
     RunFailedError,
 )
-from bendlead_gateway._jobs.keeper import ShardKeeper
+from bendlead_gateway._jobs.owned_job import OwnedJob, Progress
+from bendlead_gateway._jobs.owned_shard import OwnedShard
 from bendlead_gateway._jobs.run_stopper import RunStopper
-from bendlead_gateway._jobs.work import WorkWatch
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._scheduling.backlog import BacklogRates
@@ -52,7 +52,7 @@
     def __init__(
         self,
         node: NodeName,
-        keeper: ShardKeeper,
+        keeper: ShardManager,
         dialect: Dialect,
         fleet: Fleet,
         log: Log,
@@ -68,7 +68,7 @@
         self._precedence = Precedence(node)
         self._runs: set[ItemRun] = set()
         self._wake = Event()
-        self._work = WorkWatch(keeper, self._pace)
+        self._work = BacklogMonitor(keeper, self._pace)
         self._candidates = Candidates(
             keeper, fleet, self._pace, metrics, self._give_up
         )
@@ -249,8 +249,8 @@
 
     def _finish(
         self,
-        board: Board,
-        job: HeldJob,
+        board: OwnedShard,
+        job: OwnedJob,
         progress: Progress,
         outcome: ItemOutcome,
     ) -> None:
@@ -266,11 +266,13 @@
         self._metrics.items[outcome.value] += 1
         gevent.spawn(self._record, board, job, item_result)
 
-    def _give_up(self, board: Board, job: HeldJob, progress: Progress) -> None:
+    def _give_up(
+        self, board: OwnedShard, job: OwnedJob, progress: Progress
+    ) -> None:
         self._finish(board, job, progress, ItemOutcome.GIVEN_UP)
 
     def _record(
-        self, board: Board, job: HeldJob, item_result: ItemResult
+        self, board: OwnedShard, job: OwnedJob, item_result: ItemResult
     ) -> None:
         recorded = board.record(job, item_result)
         failure = recorded.err_value if recorded.is_err() else '-'
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/keeper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -8,8 +8,8 @@
 from result import Err
 
 from bendlead_gateway._fleet.peers import PeerTable
-from bendlead_gateway._jobs.board import Board, open_board
 from bendlead_gateway._jobs.grace_period import OwnerGracePeriod
+from bendlead_gateway._jobs.owned_shard import OwnedShard, take_over_shard
 from bendlead_gateway._jobs.shards import SHARDS, preferred_owner
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import NodeName, PeerRecord
@@ -27,7 +27,7 @@
 _SAVE_TIMEOUT_SECONDS = 0.5
 
 
-class ShardKeeper:
+class ShardManager:
     """Take over the shards whose preferred owner is this process.
 
     A shard is given up when another process owns it or this one leaves.
@@ -52,7 +52,7 @@
         self._initial_owners: dict[int, str] = {}
         self._leaving = False
         self._grace_period = OwnerGracePeriod(store)
-        self.boards: dict[int, Board] = {}
+        self.boards: dict[int, OwnedShard] = {}
 
     def epochs(self) -> dict[int, int]:
         """Return the epoch of each owned shard."""
@@ -100,7 +100,7 @@
             if not board.busy:
                 self._give_up(shard, 'handed over')
 
-    def _save(self, boards: Sequence[Board]) -> None:
+    def _save(self, boards: Sequence[OwnedShard]) -> None:
         """Save the progress of items for the next owner to resume from."""
         gevent.joinall(
             [
@@ -165,7 +165,7 @@
     def _take_over(self, shard: int) -> None:
         started_at = clock.uptime()
         owner = Owner(self._record.node, self._record.address)
-        opened = open_board(
+        opened = take_over_shard(
             self._store,
             shard,
             owner,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/told_team.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/team_header.py
@@ -8,7 +8,7 @@
 _HEADER = 'X-Bendlead-Team'
 
 
-def tell_team(headers: Headers, team: TeamName) -> list[tuple[str, str]]:
+def set_team(headers: Headers, team: TeamName) -> list[tuple[str, str]]:
     """Return headers that name the team, replacing any that a client sent."""
     relayed = [
         (name, text)
@@ -19,7 +19,7 @@
     return relayed
 
 
-def told_team(headers: Headers) -> TeamName:
+def read_team(headers: Headers) -> TeamName:
     """Return the team that the entry named, an empty name if none."""
     for name, text in headers:
         if name.lower() == _HEADER.lower():
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -9,9 +9,9 @@
 from bendlead_gateway._fleet.claims import held_shards
 from bendlead_gateway._http.messages import Request, Responder
 from bendlead_gateway._jobs.api import JobApi
-from bendlead_gateway._jobs.keeper import ShardKeeper
 from bendlead_gateway._jobs.retirement import Retirement
 from bendlead_gateway._jobs.runner import ItemRunner
+from bendlead_gateway._jobs.shard_manager import ShardManager
 from bendlead_gateway._node import Node
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import NodeSettings
@@ -33,7 +33,7 @@
     ) -> None:
         super().__init__(settings, store, dialect)
         self._calls = 0
-        self._keeper = ShardKeeper(
+        self._keeper = ShardManager(
             self.store, self.record, self.peers, self.log, settings.status_kept
         )
         self._runner = ItemRunner(
--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 import gevent
-from bendlead_gateway._jobs import keeper
+from bendlead_gateway._jobs import shard_manager
 from bendlead_gateway.http import HttpConnection
 from gevent.event import Event
 
@@ -60,13 +60,13 @@
         resumed = Event()
 
         def open_late(*args):
-            result = open_board(*args)
+            result = take_over_shard(*args)
             opened.set()
             resumed.wait(3)
             return result
 
-        open_board = keeper.open_board
-        with mock.patch.object(keeper, 'open_board', open_late):
+        take_over_shard = shard_manager.take_over_shard
+        with mock.patch.object(shard_manager, 'take_over_shard', open_late):
             owner = self.owner()
             self.assertTrue(opened.wait(3))
             owner.leaving = True
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -6,8 +6,8 @@
 
 import gevent
 import gevent.event
-from bendlead_gateway._jobs.held import HeldJob, Progress
-from bendlead_gateway._jobs.progress import ProgressLog
+from bendlead_gateway._jobs.owned_job import OwnedJob, Progress
+from bendlead_gateway._jobs.progress import ProgressWriter
 from bendlead_gateway.types import ItemId, JobId, JobItem
 from bendlead_ledger import DirectJobState, KeptProgress
 from bendlead_schema.records import (
@@ -144,7 +144,7 @@
         job='j1', host='a', path='/', accepted_at=1, total=9, tokens=1
     )
     state = DirectJobState(accepted)
-    return HeldJob(state, [item(name) for name in names])
+    return OwnedJob(state, [item(name) for name in names])
 
 
 class ProgressTest(unittest.TestCase):
@@ -205,7 +205,7 @@
         self.assertEqual(paused, progress.spent)
 
 
-class ProgressLogTest(unittest.TestCase):
+class ProgressWriterTest(unittest.TestCase):
     """Which progress of a shard's items is written, and when."""
 
     def test_most_unsaved_texts_go_first(self):
@@ -213,7 +213,7 @@
         add(owned.progress['i1'], 0, 'x' * 150_000)
         for number in range(3):
             add(owned.progress['i2'], number, 'y' * 40_000)
-        log = ProgressLog({JobId('j1'): owned}, float)
+        log = ProgressWriter({JobId('j1'): owned}, float)
         records = [
             [(events.item, events.last_event) for events in record.progress]
             for record in log.take() + log.take()
@@ -225,7 +225,7 @@
         owned = owned_job(*names)
         for progress in owned.progress.values():
             add(progress, 0, 'x' * 90_000)
-        log = ProgressLog({JobId('j1'): owned}, float)
+        log = ProgressWriter({JobId('j1'): owned}, float)
         counts = []
         while any(progress.not_kept for progress in owned.progress.values()):
             counts.append(len(log.take()[0].progress))
@@ -239,7 +239,7 @@
             owned.state.end()
         else:
             owned.progress['i1'].finished = True
-        log = ProgressLog({JobId('j1'): owned}, float)
+        log = ProgressWriter({JobId('j1'): owned}, float)
         self.assertEqual([], log.take())
 
     @parameterized.expand(
@@ -257,7 +257,7 @@
         owned = owned_job('i1')
         with mock.patch('bendlead_gateway._jobs.progress.clock') as clock:
             clock.uptime.return_value = 50
-            log = ProgressLog({JobId('j1'): owned}, lambda: write_seconds)
+            log = ProgressWriter({JobId('j1'): owned}, lambda: write_seconds)
             add(owned.progress['i1'], 0)
             log.take()
             add(owned.progress['i1'], 1)
