--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -49,14 +49,14 @@
 
     def __init__(
         self,
-        keeper: ShardManager,
+        manager: ShardManager,
         runner: ItemRunner,
         configuration: ConfigurationHolder,
         dialect: Dialect,
         log: Log,
         settle: float,
     ) -> None:
-        self._keeper = keeper
+        self._manager = manager
         self._runner = runner
         self._configuration = configuration
         self._dialect = dialect
@@ -69,16 +69,16 @@
             request.method, request.target, request.headers
         )
         host = request.host
-        board = self._keeper.boards.get(shard_of(host))
-        if board is None:
+        shard = self._manager.owned.get(shard_of(host))
+        if shard is None:
             responder.answer(_AWAY, _NOT_OWNED)
         elif call is None:
-            self._submit(request, responder, board)
+            self._submit(request, responder, shard)
         else:
-            self._serve_call(call, responder, board, read_team(request.headers))
+            self._serve_call(call, responder, shard, read_team(request.headers))
 
     def _submit(
-        self, request: Request, responder: Responder, board: OwnedShard
+        self, request: Request, responder: Responder, shard: OwnedShard
     ) -> None:
         submission = self._dialect.submission(
             request.target, request.headers, request.body
@@ -96,7 +96,7 @@
                 HTTPStatus.SERVICE_UNAVAILABLE,
             )
             return
-        if _team_of(board, submission.job) not in {None, submission.team}:
+        if _team_of(shard, submission.job) not in {None, submission.team}:
             self._respond(
                 submission,
                 'job id is used by another team',
@@ -104,16 +104,16 @@
                 HTTPStatus.CONFLICT,
             )
             return
-        if submission.job in board.jobs:
+        if submission.job in shard.jobs:
             self._respond(
                 submission, 'already accepted', responder, HTTPStatus.ACCEPTED
             )
             return
-        excess = _excess_tokens(board, submission, route)
+        excess = _excess_tokens(shard, submission, route)
         if excess > 0:
             self._reject_over_limit(submission, responder, excess)
             return
-        accepted = board.accept(submission)
+        accepted = shard.accept(submission)
         if accepted.is_ok():
             self._runner.wake()
             self._respond(
@@ -174,10 +174,10 @@
         self,
         call: JobCall,
         responder: Responder,
-        board: OwnedShard,
+        shard: OwnedShard,
         team: TeamName,
     ) -> None:
-        confirmed = board.sure(self._max_ownership_age)
+        confirmed = shard.sure(self._max_ownership_age)
         if confirmed.is_err():
             failure: Failure = confirmed.err_value
             fenced = failure.kind is FailureKind.CONFLICT
@@ -186,34 +186,34 @@
                 _NOT_OWNED if fenced else _RETRY_AFTER,
             )
             return
-        job = board.jobs.get(call.job)
+        job = shard.jobs.get(call.job)
         if job is None or job.team != team:
             # Do not reveal that another team has a job with this id.
             self._log.event(
                 'job-unknown',
                 job=call.job,
-                epoch=board.epoch,
+                epoch=shard.epoch,
                 team=team,
                 held_by=job.team if job else '-',
             )
             responder.answer(HTTPStatus.NOT_FOUND)
         elif isinstance(call, ReadResults):
-            self._read_results(call, responder, board, job)
+            self._read_results(call, responder, shard, job)
         elif isinstance(call, ReadBody):
             self._read_body(call, responder, job)
         elif isinstance(call, EndJob):
-            self._end_job(responder, board, job)
+            self._end_job(responder, shard, job)
 
     def _read_results(
         self,
         call: ReadResults,
         responder: Responder,
-        board: OwnedShard,
+        shard: OwnedShard,
         job: OwnedJob,
     ) -> None:
         deadline = clock.uptime() + call.wait
         while len(job.state.results) <= call.after and job.state.open:
-            if not board.held:
+            if not shard.held:
                 # The new owner records the results from now on.
                 break
             remaining = deadline - clock.uptime()
@@ -236,9 +236,9 @@
             responder.answer(HTTPStatus.OK, (), body)
 
     def _end_job(
-        self, responder: Responder, board: OwnedShard, job: OwnedJob
+        self, responder: Responder, shard: OwnedShard, job: OwnedJob
     ) -> None:
-        ended = board.end(job)
+        ended = shard.end(job)
         self._runner.wake()
         status = (
             HTTPStatus.OK if ended.is_ok() else HTTPStatus.SERVICE_UNAVAILABLE
@@ -248,17 +248,17 @@
 
 
 def _excess_tokens(
-    board: OwnedShard, submission: Submission, route: Route
+    shard: OwnedShard, submission: Submission, route: Route
 ) -> int:
     """Count the tokens by which a job would exceed the queue limit."""
     limit = route.max_waiting_tokens
     if not limit:
         return 0
-    waiting = board.waiting_tokens(submission.host, submission.team)
+    waiting = shard.waiting_tokens(submission.host, submission.team)
     return waiting + submission.tokens - limit
 
 
-def _team_of(board: OwnedShard, job: JobId) -> TeamName | None:
+def _team_of(shard: OwnedShard, job: JobId) -> TeamName | None:
     """Return the team of an accepted or pending job, None if there is none."""
-    accepted = board.jobs.get(job)
-    return accepted.team if accepted else board.pending.team_of(job)
+    accepted = shard.jobs.get(job)
+    return accepted.team if accepted else shard.pending.team_of(job)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
@@ -17,8 +17,8 @@
     Counting it is too slow for each scheduling round.
     """
 
-    def __init__(self, keeper: ShardManager, durations: ItemDurations) -> None:
-        self._keeper = keeper
+    def __init__(self, manager: ShardManager, durations: ItemDurations) -> None:
+        self._manager = manager
         self._durations = durations
         self._next_update_at = 0.0
 
@@ -31,7 +31,7 @@
 
     def _run_seconds(self) -> Iterator[float]:
         """Yield the total run time (s) of each unfinished item."""
-        for board in self._keeper.boards.values():
-            for job in board.jobs.values():
+        for shard in self._manager.owned.values():
+            for job in shard.jobs.values():
                 for progress in job.unfinished:
                     yield progress.spent
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -133,7 +133,7 @@
     def _waiting(self) -> Iterator[_Waiting]:
         """Yield the items of owned jobs that wait for a slot."""
         now = clock.uptime()
-        for board in list(self._keeper.boards.values()):
+        for board in list(self._keeper.owned.values()):
             for job in list(board.jobs.values()):
                 for progress in list(job.waiting(now)):
                     yield board, job, progress
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
@@ -317,12 +317,12 @@
     if isinstance(taken, Err):
         return taken
     state = taken.ok_value
-    board = OwnedShard(store, ShardId(shard), log, state, retention, on_lost)
-    loaded = board.load()
+    owned = OwnedShard(store, ShardId(shard), log, state, retention, on_lost)
+    loaded = owned.load()
     if isinstance(loaded, Err):
-        board.close()
+        owned.close()
         return loaded
-    return Ok(board)
+    return Ok(owned)
 
 
 def _read_items(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/retirement.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/retirement.py
@@ -30,7 +30,7 @@
         node: NodeName,
         store: FollowedStore,
         dialect: Dialect,
-        keeper: ShardManager,
+        manager: ShardManager,
         log: Log,
         on_order: Callable[[], None],
         finish_calls: Callable[[], None],
@@ -38,7 +38,7 @@
         self._node = node
         self._store = store
         self._dialect = dialect
-        self._keeper = keeper
+        self._manager = manager
         self._log = log
         self._on_order = on_order
         self._finish_calls = finish_calls
@@ -68,10 +68,10 @@
         self._log.event('retiring', seconds=order.seconds)
         deadline = clock.uptime() + order.seconds * _HAND_OVER_SHARE
         self._on_order()
-        while self._keeper.boards and clock.uptime() < deadline:
-            self._keeper.hand_over()
+        while self._manager.owned and clock.uptime() < deadline:
+            self._manager.hand_over()
             gevent.sleep(_CHECK_INTERVAL_SECONDS)
-        self._keeper.leave(0)
+        self._manager.leave(0)
         self._finish_calls()
         self._report_drained(key)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -67,7 +67,7 @@
         return wait is ItemTiming.NOW and running < state.urgent_slots
 
     def _stop_unwanted(self, runs: Sequence[ItemRun]) -> None:
-        owned = self._keeper.boards.values()
+        owned = self._keeper.owned.values()
         for run in runs:
             if run.board not in owned or run.job.state.ended:
                 self._stop(run, StopCause.UNWANTED)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -52,11 +52,11 @@
         self._initial_owners: dict[int, str] = {}
         self._leaving = False
         self._grace_period = OwnerGracePeriod(store)
-        self.boards: dict[int, OwnedShard] = {}
+        self.owned: dict[int, OwnedShard] = {}
 
     def epochs(self) -> dict[int, int]:
         """Return the epoch of each owned shard."""
-        return {shard: board.epoch for shard, board in self.boards.items()}
+        return {shard: owned.epoch for shard, owned in self.owned.items()}
 
     def run(self, sound: Callable[[], bool]) -> None:
         """Check the owner of each shard until told to leave.
@@ -75,13 +75,13 @@
     def leave(self, timeout: float) -> None:
         """Give up all shards once their commits are done or time is up."""
         self._leaving = True
-        self._save(list(self.boards.values()))
+        self._save(list(self.owned.values()))
         deadline = clock.uptime() + timeout
         while clock.uptime() < deadline:
-            if not any(board.busy for board in self.boards.values()):
+            if not any(owned.busy for owned in self.owned.values()):
                 break
             gevent.sleep(_CHECK_SECONDS / 4)
-        for shard in list(self.boards):
+        for shard in list(self.owned):
             self._give_up(shard, 'leaving')
 
     def hand_over(self) -> None:
@@ -90,32 +90,32 @@
         if not self._peers.claims.able_owners():
             return
         ready = {
-            shard: board
-            for shard, board in self.boards.items()
-            if not board.busy
+            shard: owned
+            for shard, owned in self.owned.items()
+            if not owned.busy
         }
         self._save(list(ready.values()))
-        for shard, board in ready.items():
+        for shard, owned in ready.items():
             # A job may have been submitted meanwhile.
-            if not board.busy:
+            if not owned.busy:
                 self._give_up(shard, 'handed over')
 
-    def _save(self, boards: Sequence[OwnedShard]) -> None:
+    def _save(self, owned_shards: Sequence[OwnedShard]) -> None:
         """Save the progress of items for the next owner to resume from."""
         gevent.joinall(
             [
-                gevent.spawn(board.save_progress, _SAVE_TIMEOUT_SECONDS)
-                for board in boards
+                gevent.spawn(owned.save_progress, _SAVE_TIMEOUT_SECONDS)
+                for owned in owned_shards
             ]
         )
 
     def _check(self, shard: int, sound: bool) -> None:
-        board = self.boards.get(shard)
+        owned = self.owned.get(shard)
         claimed = self._peers.claims.claimed(shard)
-        if board is not None:
+        if owned is not None:
             # An owner that cannot write keeps its shard until another takes
             # over: its items go on, and the epoch fences late writes.
-            if claimed > board.epoch:
+            if claimed > owned.epoch:
                 self._give_up(
                     shard, f'owned by another process at epoch {claimed}'
                 )
@@ -177,14 +177,14 @@
                 'takeover-failed', shard=shard, reason=opened.err_value
             )
             return
-        board = opened.ok_value
-        self.boards[shard] = board
+        owned = opened.ok_value
+        self.owned[shard] = owned
         self._log.event(
             'takeover',
             shard=shard,
-            epoch=board.epoch,
-            jobs=len(board.jobs),
-            items_begun=sum(job.items_begun for job in board.jobs.values()),
+            epoch=owned.epoch,
+            jobs=len(owned.jobs),
+            items_begun=sum(job.items_begun for job in owned.jobs.values()),
             ms=round((clock.uptime() - started_at) * 1000),
         )
         if self._leaving:
@@ -192,13 +192,13 @@
             self._give_up(shard, 'leaving')
 
     def _give_up(self, shard: int, reason: str) -> None:
-        board = self.boards.pop(shard, None)
+        owned = self.owned.pop(shard, None)
         self._lost_at[shard] = clock.uptime()
-        if board is not None:
+        if owned is not None:
             self._log.event(
                 'shard-given-up',
                 shard=shard,
-                epoch=board.epoch,
-                reason=reason or board.lost_by,
+                epoch=owned.epoch,
+                reason=reason or owned.lost_by,
             )
-            gevent.spawn(board.close)
+            gevent.spawn(owned.close)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -114,7 +114,7 @@
 
         A held watch may live on while new calls are turned away.
         """
-        stuck = any(one.stuck for one in self._keeper.boards.values())
+        stuck = any(one.stuck for one in self._keeper.owned.values())
         reached = self.peers_watch.current or self.store.by_peer
         return reached and not stuck
 
@@ -123,14 +123,14 @@
         while True:
             gevent.sleep(_ASK_SECONDS / 2)
             rested = clock.uptime() - self.store.reached_at
-            if self._keeper.boards and rested > _ASK_SECONDS:
-                shard = next(iter(self._keeper.boards))
+            if self._keeper.owned and rested > _ASK_SECONDS:
+                shard = next(iter(self._keeper.owned))
                 self.store.fetch(head_key(ShardId(shard)))
 
     def _forget(self) -> None:
         while True:
             gevent.sleep(_FORGET_SECONDS)
-            for board in list(self._keeper.boards.values()):
+            for board in list(self._keeper.owned.values()):
                 board.forget_old()
                 if board.snapshot_failure:
                     self.log.event(
--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -146,7 +146,7 @@
     def holding(self, name='owner-1'):
         """Start an owner that holds all shards."""
         node = self.owner(name)
-        eventually(lambda: len(node._keeper.boards) == 4)
+        eventually(lambda: len(node._keeper.owned) == 4)
         return node
 
     def two_owners(self):
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -47,11 +47,11 @@
         self.configure([_INCOMPLETE, _REMAINDER])
         first = self.holding()
         self.run_first_events(first)
-        board = first._keeper.boards[node_shard()]
-        eventually(lambda: board.jobs['j1'].state.kept)
+        shard = first._keeper.owned[node_shard()]
+        eventually(lambda: shard.jobs['j1'].state.kept)
         second = self.owner('owner-2')
         self.isolate(first, second)
-        eventually(lambda: len(second._keeper.boards) == 4, 5)
+        eventually(lambda: len(second._keeper.owned) == 4, 5)
         self.assert_resumes(second)
 
     @parameterized.expand([('stopped', False), ('retired', True)])
@@ -61,7 +61,7 @@
         second = self.owner('owner-2')
         eventually(second.peers.claims.able_owners)
         self.run_first_events(first)
-        running = first._keeper.boards[node_shard()].jobs['j1']
+        running = first._keeper.owned[node_shard()].jobs['j1']
         eventually(lambda: running.progress['i0'].last_event == 2)
         if ordered:
             order = {'duration_s': 5}
@@ -69,7 +69,7 @@
         else:
             first.leaving = True
             gevent.spawn(first.leave)
-        eventually(lambda: len(second._keeper.boards) == 4, 4)
+        eventually(lambda: len(second._keeper.owned) == 4, 4)
         self.assert_resumes(second)
 
     def test_job_submitted_while_progress_is_saved(self):
@@ -78,28 +78,28 @@
         second = self.owner('owner-2')
         eventually(second.peers.claims.able_owners)
         first.leaving = True
-        boards = dict(first._keeper.boards)
-        board = boards.pop(node_shard())
+        owned = dict(first._keeper.owned)
+        shard = owned.pop(node_shard())
 
         def accept(_within):
-            board._accepting['j1'] = gevent.event.Event()
+            shard._accepting['j1'] = gevent.event.Event()
 
         def hand_over():
             # Nothing is handed over while no report of another owner is recent.
             first._keeper.hand_over()
-            return len(first._keeper.boards) <= 1
+            return len(first._keeper.owned) <= 1
 
-        with mock.patch.object(board, 'save_progress', accept):
+        with mock.patch.object(shard, 'save_progress', accept):
             eventually(hand_over)
-        self.assertEqual([node_shard()], list(first._keeper.boards))
-        board._accepting.clear()
-        eventually(lambda: hand_over() and not first._keeper.boards)
+        self.assertEqual([node_shard()], list(first._keeper.owned))
+        shard._accepting.clear()
+        eventually(lambda: hand_over() and not first._keeper.owned)
 
     def test_progress_of_finished_item_is_dropped(self):
         self.configure([_INCOMPLETE, _REMAINDER])
         node = self.holding()
         self.run_first_events(node)
-        state = node._keeper.boards[node_shard()].jobs['j1'].state
+        state = node._keeper.owned[node_shard()].jobs['j1'].state
         eventually(lambda: state.kept)
         node.fleet.loads.own.online['i-1'] += 8
         eventually(lambda: not node._runner.running)
@@ -113,10 +113,10 @@
         node = self.holding()
         self.submit(node, job(items=2))
         eventually(lambda: len(self.engine.requests) == 2)
-        board = node._keeper.boards[node_shard()]
-        items = list(board.jobs['j1'].progress.values())
-        commit = board._log.commit
-        with mock.patch.object(board._log, 'commit', wraps=commit) as counted:
+        shard = node._keeper.owned[node_shard()]
+        items = list(shard.jobs['j1'].progress.values())
+        commit = shard._log.commit
+        with mock.patch.object(shard._log, 'commit', wraps=commit) as counted:
             started_at = time.monotonic()
             for number in range(50):
                 for progress in items:
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -37,7 +37,7 @@
         second.peers.claims.claimed = lambda _shard: 0
         second.peers.claims.able_owners = list
         first.peers.claims.claimed = lambda _shard: 0
-        eventually(lambda: len(second._keeper.boards) == 4, 5)
+        eventually(lambda: len(second._keeper.owned) == 4, 5)
         self.assertEqual(results, self.results(second))
         response = eventually(
             lambda: self.call(first, 'GET', '/-/lots/j1').head.status == 503,
@@ -51,9 +51,9 @@
         self._refuse_writes(first)
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
         # Shards are taken over one after the other.
-        eventually(lambda: len(second._keeper.boards) == 4, 15)
-        self.assertIn('j1', second._keeper.boards[node_shard()].jobs)
-        eventually(lambda: not first._keeper.boards, 2)
+        eventually(lambda: len(second._keeper.owned) == 4, 15)
+        self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
+        eventually(lambda: not first._keeper.owned, 2)
 
     def test_store_outage_moves_no_shards(self):
         first, second = self.two_owners()
@@ -100,7 +100,7 @@
         if other != 'owner-1':
             restarted.append(self.owner(other))
         eventually(
-            lambda: sum(len(owner._keeper.boards) for owner in restarted) == 4
+            lambda: sum(len(owner._keeper.owned) for owner in restarted) == 4
         )
         self.assertLess(clock.uptime() - started_at, 0.6)
 
@@ -110,16 +110,16 @@
         self.run_first_owner()
         second = self.owner('owner-2')
         gevent.sleep(0.5)
-        self.assertFalse(second._keeper.boards)
-        eventually(lambda: len(second._keeper.boards) == 4)
+        self.assertFalse(second._keeper.owned)
+        eventually(lambda: len(second._keeper.owned) == 4)
 
     def test_leaving_owner_hands_over_immediately(self):
         first, second = self.two_owners()
         first.leaving = True
         gevent.spawn(first.leave)
-        eventually(lambda: len(second._keeper.boards) == 4, 3)
+        eventually(lambda: len(second._keeper.owned) == 4, 3)
         self.assertEqual(202, self.submit(second))
-        self.assertIn('j1', second._keeper.boards[node_shard()].jobs)
+        self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
 
     def run_first_owner(self):
         """Run an owner until it has all shards, then end all its tasks."""
@@ -171,7 +171,7 @@
         self.assertEqual(202 if known else 503, status)
         status = self.request(entries[0], 'GET', '/-/lots/j1')
         self.assertEqual(200 if known else 503, status)
-        self.assertEqual(known, 'j1' in owner._keeper.boards[node_shard()].jobs)
+        self.assertEqual(known, 'j1' in owner._keeper.owned[node_shard()].jobs)
 
 
 class RetirementTest(OwnerCase):
@@ -184,15 +184,15 @@
             lambda: self.store.get('retirements', 'owner-1')['status'], 4
         )
         self.assertEqual('completed', status['state'])
-        self.assertEqual({}, first._keeper.boards)
-        eventually(lambda: len(second._keeper.boards) == 4, 3)
+        self.assertEqual({}, first._keeper.owned)
+        eventually(lambda: len(second._keeper.owned) == 4, 3)
 
     def test_order_for_another_node(self):
         self.configure()
         node = self.holding()
         self.store.set('retirements', 'owner-9', {'duration_s': 5})
         gevent.sleep(0.5)
-        self.assertEqual(4, len(node._keeper.boards))
+        self.assertEqual(4, len(node._keeper.owned))
         self.assertIsNone(self.store.get('retirements', 'owner-9')['status'])
 
 
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -316,7 +316,7 @@
         # Items are compressed in the log, so they are looked at unpacked.
         (accepted,) = [
             job.state.accepted
-            for board in self.node._keeper.boards.values()
+            for board in self.node._keeper.owned.values()
             for job in board.jobs.values()
         ]
         (item,) = unpack_items(accepted.packed, b'')
@@ -328,7 +328,7 @@
         second = self.owner('owner-2')
         self.node.leaving = True
         self.node.leave()
-        eventually(lambda: len(second._keeper.boards) == 4)
+        eventually(lambda: len(second._keeper.owned) == 4)
         self.node = second
         read = '/-/lots/j1?watch_after=0'
         self.assertEqual(200, self.as_team('team-1', 'GET', read).head.status)
