--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -177,7 +177,7 @@
         shard: OwnedShard,
         team: TeamName,
     ) -> None:
-        confirmed = shard.sure(self._max_ownership_age)
+        confirmed = shard.confirm_ownership(self._max_ownership_age)
         if confirmed.is_err():
             failure: Failure = confirmed.err_value
             fenced = failure.kind is FailureKind.CONFLICT
@@ -213,7 +213,7 @@
     ) -> None:
         deadline = clock.uptime() + call.wait
         while len(job.state.results) <= call.after and job.state.open:
-            if not shard.held:
+            if not shard.is_owned:
                 # The new owner records the results from now on.
                 break
             remaining = deadline - clock.uptime()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -85,7 +85,7 @@
         Raises RunFailedError where the output is incomplete, and OSError where
         the connection fails.
         """
-        if run.board.sure(_OWNERSHIP_MAX_AGE_SECONDS).is_err():
+        if run.board.confirm_ownership(_OWNERSHIP_MAX_AGE_SECONDS).is_err():
             run.postpone()
             return None
         connection = self._connect(run)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
@@ -110,13 +110,13 @@
         return self._log.epoch
 
     @property
-    def lost_by(self) -> str:
+    def loss_reason(self) -> str:
         """Return why the shard was lost."""
         failure = self._committer.failure
         return f'lost: {failure}' if failure else 'fenced'
 
     @property
-    def held(self) -> bool:
+    def is_owned(self) -> bool:
         """Return whether results may still be recorded here."""
         return not self._committer.lost
 
@@ -166,7 +166,7 @@
         if records:
             self._committer.commit(records, timeout)
 
-    def sure(self, max_age: float) -> Result[None, Failure]:
+    def confirm_ownership(self, max_age: float) -> Result[None, Failure]:
         """Confirm ownership unless it was confirmed within ``max_age`` seconds.
 
         Concurrent callers share one confirmation.
@@ -245,7 +245,7 @@
         job.announce()
         return Ok(None)
 
-    def forget_old(self) -> None:
+    def remove_expired_jobs(self) -> None:
         """Remove finished jobs past the retention period."""
         oldest = time.time() - self._retention - _RETENTION_SLACK_SECONDS
         expired: list[Record] = [
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -199,6 +199,6 @@
                 'shard-given-up',
                 shard=shard,
                 epoch=owned.epoch,
-                reason=reason or owned.lost_by,
+                reason=reason or owned.loss_reason,
             )
             gevent.spawn(owned.close)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -131,7 +131,7 @@
         while True:
             gevent.sleep(_FORGET_SECONDS)
             for board in list(self._keeper.owned.values()):
-                board.forget_old()
+                board.remove_expired_jobs()
                 if board.snapshot_failure:
                     self.log.event(
                         'snapshot-failed',
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -98,10 +98,10 @@
         self.configure()
         node = self.holding()
         board = node._keeper.owned[node_shard()]
-        self.assertTrue(board.sure(1.5).is_ok())
+        self.assertTrue(board.confirm_ownership(1.5).is_ok())
         calls = len(self.store.calls)
         with asleep():
-            self.assertTrue(board.sure(1.5).is_ok())
+            self.assertTrue(board.confirm_ownership(1.5).is_ok())
         self.assertGreater(len(self.store.calls), calls)
 
     def test_held_calls_are_doubted(self):
