--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
@@ -34,4 +34,4 @@
         for shard in self._manager.owned.values():
             for job in shard.jobs.values():
                 for progress in job.unfinished:
-                    yield progress.spent
+                    yield progress.run_seconds
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -104,7 +104,7 @@
 
     def remaining_seconds(self, progress: Progress) -> float:
         """Estimate the seconds that an item still needs on an engine."""
-        return self._pace.left(progress.spent)
+        return self._pace.left(progress.run_seconds)
 
     def wait_cost(
         self, job: OwnedJob, progress: Progress, route: Route
@@ -113,7 +113,7 @@
         return item_timing(
             self._pace.spare(
                 job_age_seconds(job),
-                progress.spent,
+                progress.run_seconds,
                 route.run_target,
             )
         )
@@ -126,7 +126,7 @@
         return self._pace.urgency(
             accepted_at,
             job_age_seconds(job),
-            progress.spent,
+            progress.run_seconds,
             route.run_target,
         )
 
@@ -135,7 +135,7 @@
         now = clock.uptime()
         for board in list(self._keeper.owned.values()):
             for job in list(board.jobs.values()):
-                for progress in list(job.waiting(now)):
+                for progress in list(job.ready_items(now)):
                     yield board, job, progress
 
     def _give_up_unrouted(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
@@ -79,7 +79,7 @@
         return self._run_started_at is not None
 
     @property
-    def spent(self) -> float:
+    def run_seconds(self) -> float:
         """Return the total duration (s) of all runs, with the current one."""
         if self._run_started_at is None:
             return self._previous_run_seconds
@@ -88,7 +88,7 @@
         )
 
     @property
-    def took(self) -> float | None:
+    def elapsed_seconds(self) -> float | None:
         """Return the seconds since the first run began.
 
         None if the item has not run, or first ran under an earlier owner.
@@ -98,12 +98,12 @@
         return clock.uptime() - self._first_run_at
 
     @property
-    def not_kept(self) -> int:
+    def unsaved_texts(self) -> int:
         """Count the texts not yet handed to the log."""
         return len(self.texts) - self._saved_texts
 
     @property
-    def failed_since(self) -> bool:
+    def has_unsaved_failures(self) -> bool:
         """Return whether a failure has not yet been handed to the log."""
         return self.failures > self._saved_failures
 
@@ -112,18 +112,18 @@
         self._saved_failures = self.failures
         return ItemFailures(item=self.item.item, failures=self.failures)
 
-    def begin(self) -> None:
+    def begin_run(self) -> None:
         """Start timing a run."""
         self._run_started_at = clock.uptime()
         if self._first_run_at is None:
             self._first_run_at = self._run_started_at
 
-    def pause(self) -> None:
+    def end_run(self) -> None:
         """Stop timing the current run."""
-        self._previous_run_seconds = self.spent
+        self._previous_run_seconds = self.run_seconds
         self._run_started_at = None
 
-    def take(self, max_characters: int) -> DirectProgress:
+    def take_events(self, max_characters: int) -> DirectProgress:
         """Return the record of the next unsaved events and mark them as saved.
 
         It has at least one event, even if that exceeds ``max_characters``.
@@ -141,7 +141,7 @@
             # Event numbers are consecutive.
             last_event=self.last_event - len(self.texts) + end,
             text='\n'.join(self.texts[self._saved_texts : end]),
-            spent=self.spent,
+            spent=self.run_seconds,
         )
         # Replace the texts by the joined one, which the shard state shares.
         saved = self.texts[: self._saved_texts]
@@ -200,11 +200,11 @@
                 yield progress
 
     @property
-    def items_begun(self) -> int:
+    def started_items(self) -> int:
         """Count the items that have events."""
         return sum(bool(progress.texts) for progress in self.progress.values())
 
-    def waiting(self, now: float) -> Iterator[Progress]:
+    def ready_items(self, now: float) -> Iterator[Progress]:
         """Yield the items that are ready to start at an uptime."""
         for progress in self.unfinished:
             if not progress.running and progress.not_before <= now:
@@ -224,7 +224,7 @@
         progress = self.progress.get(item)
         return progress.item.body if progress else None
 
-    def announce(self) -> None:
+    def publish_results(self) -> None:
         """Wake the readers and drop the progress of items with a result."""
         for item in list(self.progress):
             if self.state.listed(item):
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
@@ -158,7 +158,7 @@
         self._progress_writer.kill()
         self._committer.close()
         for job in self.jobs.values():
-            job.announce()
+            job.publish_results()
 
     def save_progress(self, timeout: float) -> None:
         """Commit all unsaved progress, so that the next owner can resume."""
@@ -230,7 +230,7 @@
         done = self._committer.commit([record])
         if isinstance(done, Err):
             return done
-        job.announce()
+        job.publish_results()
         return Ok(None)
 
     def end(self, job: OwnedJob) -> Result[None, Failure]:
@@ -242,7 +242,7 @@
         )
         if isinstance(done, Err):
             return done
-        job.announce()
+        job.publish_results()
         return Ok(None)
 
     def remove_expired_jobs(self) -> None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
@@ -82,10 +82,10 @@
             record = taken.setdefault(
                 job, DirectResultsRecorded(job=job, results=[])
             )
-            if progress.failed_since:
+            if progress.has_unsaved_failures:
                 record.failed.append(progress.take_failures())
-            if progress.not_kept:
-                events = progress.take(remaining)
+            if progress.unsaved_texts:
+                events = progress.take_events(remaining)
                 remaining -= len(events.text)
                 record.progress.append(events)
         return list(taken.values())
@@ -101,11 +101,13 @@
             if job.state.ended:
                 continue
             for progress in job.progress.values():
-                unsaved = progress.not_kept or progress.failed_since
+                unsaved = (
+                    progress.unsaved_texts or progress.has_unsaved_failures
+                )
                 if unsaved and not progress.finished:
                     yield job_id, progress
 
 
 def _count_unsaved(item: _UnsavedItem) -> int:
     _job, progress = item
-    return progress.not_kept
+    return progress.unsaved_texts
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -178,7 +178,7 @@
             candidate.progress,
             candidate.route,
         )
-        run.progress.begin()
+        run.progress.begin_run()
         self._candidates.record_start(candidate)
         self._runs.add(run)
         self._loads.own.batch[engine.engine] += 1
@@ -203,11 +203,13 @@
 
     def _observe_duration(self, run: ItemRun) -> None:
         """Update the run time estimate from a completed item."""
-        self._pace.observe(run.progress.spent, run.progress.took)
+        self._pace.observe(
+            run.progress.run_seconds, run.progress.elapsed_seconds
+        )
 
     def _release_slot(self, run: ItemRun) -> None:
         self._runs.discard(run)
-        run.progress.pause()
+        run.progress.end_run()
         self._loads.own.batch[run.engine.engine] -= 1
         connection = run.connection
         if connection is not None and not connection.reusable:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -184,7 +184,7 @@
             shard=shard,
             epoch=owned.epoch,
             jobs=len(owned.jobs),
-            items_begun=sum(job.items_begun for job in owned.jobs.values()),
+            items_begun=sum(job.started_items for job in owned.jobs.values()),
             ms=round((clock.uptime() - started_at) * 1000),
         )
         if self._leaving:
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -167,8 +167,8 @@
             add(progress, number, text)
         taken = []
         texts = []
-        while progress.not_kept:
-            record = progress.take(limit)
+        while progress.unsaved_texts:
+            record = progress.take_events(limit)
             taken.append((record.after, record.last_event, record.text))
             texts.append(record.text)
         self.assertEqual(expected, taken)
@@ -185,10 +185,10 @@
         progress = Progress.restored(item(), kept)
         self.assertEqual(
             (7, 0, 2.5),
-            (progress.last_event, progress.not_kept, progress.spent),
+            (progress.last_event, progress.unsaved_texts, progress.run_seconds),
         )
         add(progress, 8, 'c')
-        record = progress.take(99)
+        record = progress.take_events(99)
         self.assertEqual(
             (7, 8, 'c'), (record.after, record.last_event, record.text)
         )
@@ -196,13 +196,13 @@
 
     def test_current_run_counts(self):
         progress = Progress(item())
-        progress.begin()
+        progress.begin_run()
         gevent.sleep(0.02)
-        self.assertGreater(progress.spent, 0.01)
-        progress.pause()
-        paused = progress.spent
+        self.assertGreater(progress.run_seconds, 0.01)
+        progress.end_run()
+        paused = progress.run_seconds
         gevent.sleep(0.02)
-        self.assertEqual(paused, progress.spent)
+        self.assertEqual(paused, progress.run_seconds)
 
 
 class ProgressWriterTest(unittest.TestCase):
@@ -227,7 +227,9 @@
             add(progress, 0, 'x' * 90_000)
         log = ProgressWriter({JobId('j1'): owned}, float)
         counts = []
-        while any(progress.not_kept for progress in owned.progress.values()):
+        while any(
+            progress.unsaved_texts for progress in owned.progress.values()
+        ):
             counts.append(len(log.take()[0].progress))
         self.assertEqual([3, 3, 3], counts)
 
