--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/backlog_monitor.py
@@ -22,7 +22,7 @@
         self._durations = durations
         self._next_update_at = 0.0
 
-    def look(self, running: int) -> None:
+    def update(self, running: int) -> None:
         """Report the work if the interval since the last report has passed."""
         now = clock.uptime()
         if now >= self._next_update_at:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_shard.py
@@ -98,7 +98,7 @@
             state,
             lambda: _COMMIT_INTERVAL_SECONDS,
             on_lost,
-            self._progress.along,
+            self._progress.piggyback,
         )
         self._progress_writer = gevent.spawn(
             self._progress.run, self._committer
@@ -162,7 +162,7 @@
 
     def save_progress(self, timeout: float) -> None:
         """Commit all unsaved progress, so that the next owner can resume."""
-        records = self._progress.take()
+        records = self._progress.take_records()
         if records:
             self._committer.commit(records, timeout)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/progress.py
@@ -59,17 +59,17 @@
             gevent.sleep(_CHECK_SECONDS)
             if self.due:
                 # A failure means that the shard is lost, which its owner logs.
-                committer.commit(self.take())
+                committer.commit(self.take_records())
 
-    def along(self) -> list[Record]:
+    def piggyback(self) -> list[Record]:
         """Return the records to add to a write that is made anyway."""
         return (
-            self.take()
+            self.take_records()
             if self._interval_passed(_PIGGYBACK_INTERVAL_SECONDS)
             else []
         )
 
-    def take(self) -> list[Record]:
+    def take_records(self) -> list[Record]:
         """Return records up to the size limit, most unsaved texts first."""
         self._taken_at = clock.uptime()
         remaining = _MAX_CHARACTERS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -102,7 +102,7 @@
             self._precedence.update_others(self._loads.item_owners())
             capacity = BatchCapacity(self._fleet.balancer, self._precedence)
             self._stopper.check(self._runs, capacity)
-            self._work.look(len(self._runs))
+            self._work.update(len(self._runs))
             self._start_runs(capacity)
             self._wake.wait(_ROUND_INTERVAL_SECONDS)
             self._wake.clear()
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -213,10 +213,10 @@
         add(owned.progress['i1'], 0, 'x' * 150_000)
         for number in range(3):
             add(owned.progress['i2'], number, 'y' * 40_000)
-        log = ProgressWriter({JobId('j1'): owned}, float)
+        writer = ProgressWriter({JobId('j1'): owned}, float)
         records = [
             [(events.item, events.last_event) for events in record.progress]
-            for record in log.take() + log.take()
+            for record in writer.take_records() + writer.take_records()
         ]
         self.assertEqual([[('i2', 2), ('i1', 0)]], records)
 
@@ -225,12 +225,12 @@
         owned = owned_job(*names)
         for progress in owned.progress.values():
             add(progress, 0, 'x' * 90_000)
-        log = ProgressWriter({JobId('j1'): owned}, float)
+        writer = ProgressWriter({JobId('j1'): owned}, float)
         counts = []
         while any(
             progress.unsaved_texts for progress in owned.progress.values()
         ):
-            counts.append(len(log.take()[0].progress))
+            counts.append(len(writer.take_records()[0].progress))
         self.assertEqual([3, 3, 3], counts)
 
     @parameterized.expand([('finished', False), ('job_ended', True)])
@@ -241,8 +241,8 @@
             owned.state.end()
         else:
             owned.progress['i1'].finished = True
-        log = ProgressWriter({JobId('j1'): owned}, float)
-        self.assertEqual([], log.take())
+        writer = ProgressWriter({JobId('j1'): owned}, float)
+        self.assertEqual([], writer.take_records())
 
     @parameterized.expand(
         [
@@ -255,18 +255,18 @@
             ('longest_interval', 3, 5.1, 1, True),
         ]
     )
-    def test_rate(self, _name, write_seconds, elapsed, along, due):
+    def test_rate(self, _name, write_seconds, elapsed, piggybacked, due):
         owned = owned_job('i1')
         with mock.patch('bendlead_gateway._jobs.progress.clock') as clock:
             clock.uptime.return_value = 50
-            log = ProgressWriter({JobId('j1'): owned}, lambda: write_seconds)
+            writer = ProgressWriter({JobId('j1'): owned}, lambda: write_seconds)
             add(owned.progress['i1'], 0)
-            log.take()
+            writer.take_records()
             add(owned.progress['i1'], 1)
             clock.uptime.return_value += elapsed
-            self.assertEqual(due, log.due)
-            self.assertEqual(along, len(log.along()))
-            self.assertFalse(log.due)
+            self.assertEqual(due, writer.due)
+            self.assertEqual(piggybacked, len(writer.piggyback()))
+            self.assertFalse(writer.due)
 
 
 class FailuresTest(OwnerCase):
