--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/__init__.py
@@ -1,1 +1,1 @@
-"""Find the requests under which engines end, and keep them from engines."""
+"""Detect requests that crash engines, and quarantine them."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/ends.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/ends.py
@@ -1,8 +1,8 @@
-"""Find out which engines have ended, and which requests they ran then.
+"""Detect engine crashes, and the requests that were running at that moment.
 
-An answer that breaks off tells little: an engine may have dropped this one
-request, or a link was cut. The engine has ended where its address then refuses
-connections, or where it leaves the list without having said that it drains.
+A broken response alone is no crash: the engine may have dropped one request, or
+a link failed. An engine has crashed where its address then refuses connections,
+or where it leaves the list without having been draining.
 """
 
 from collections.abc import Callable
@@ -18,39 +18,39 @@
 from bendlead_gateway._suspects.digest import RequestDigest
 from bendlead_gateway.types import Engine, EngineId, EngineState
 
-#: When an engine is asked for a connection after an answer broke off (s). Its
-#: listening socket may close some ms after its connections.
-_PROBE_PAUSES = (0.03, 0.27)
-_PROBE_SECONDS = 0.15
-#: How long (s) the first of these answers is awaited by a request.
-_AWAITED_SECONDS = 0.1
-#: How long (s) an answer that broke off waits for news of its engine: one that
-#: fell silent leaves the list after three heartbeats of 1.2 s and some more.
-_NEWS_SECONDS = 6.0
-
-#: Bytes that came before an end may be read this much (s) after it is noticed.
-_READ_LATE_SECONDS = 0.1
-#: What is turned away sooner than this (s) and without a byte may never have
-#: met the engine: an engine begins its answer after some 0.04 s.
-_TURNED_AWAY_SECONDS = 0.03
-#: A request whose caller left this long (s) before an engine ended may have
-#: run there still: streams take a second.
-_LEFT_SECONDS = 3.0
-
-_Life = tuple[str, int]
-
-#: Takes an engine that has ended and a request that it ran.
+#: Pauses before the probes that follow a broken response. The listening socket
+#: of a process may close some ms after its connections.
+_PROBE_PAUSES_SECONDS = (0.03, 0.27)
+_PROBE_TIMEOUT_SECONDS = 0.15
+#: Longest wait of a request for the first probe.
+_AWAIT_PROBE_SECONDS = 0.1
+#: Time for which broken responses are remembered. An engine whose heartbeats
+#: stop leaves the list after three intervals of 1.2 s and some more.
+_MEMORY_SECONDS = 6.0
+
+#: Bytes sent before a crash may be read this long after it is noticed.
+_READ_DELAY_SECONDS = 0.1
+#: A response that broke off sooner than this and without a byte may come from a
+#: proxy in front of an engine that is already gone.
+_EARLY_CLOSE_SECONDS = 0.03
+#: A request abandoned this long before a crash may still have been running.
+_ABANDONED_SECONDS = 3.0
+
+_Incarnation = tuple[str, int]
+
+#: Called with a crashed engine and a request that it was running.
 OnEnd = Callable[[Engine, RequestDigest], None]
 
 
 def ignore_end(engine: Engine, digest: RequestDigest) -> None:
-    """Hold nothing against a request."""
+    """Ignore a crash."""
 
 
 class Break(Struct, frozen=True):
-    """Say which answer broke off, and when its request was sent (s).
+    """A response that broke off.
 
-    ``answered`` tells that some bytes of an answer had come.
+    ``began`` is when its request was sent (s on the steady clock), ``answered``
+    whether some bytes of the response had arrived.
     """
 
     digest: RequestDigest
@@ -58,162 +58,169 @@
     answered: bool
 
 
-class _Broken(Struct):
-    """Keep the requests whose answers from one engine broke off."""
+class _PossibleCrash(Struct):
+    """Requests whose responses from one engine incarnation broke off."""
 
     engine: Engine
-    at: float
+    noticed_at: float
     digests: set[RequestDigest] = field(default_factory=set)
-    #: Those that were turned away at once, perhaps by what stands for an engine
-    #: that was gone already.
-    turned_away: set[RequestDigest] = field(default_factory=set)
-    ended: bool = False
-    #: Set once it is known whether the engine refuses connections at once.
+    #: Requests closed at once, perhaps by a proxy in front of the engine.
+    closed_early: set[RequestDigest] = field(default_factory=set)
+    confirmed: bool = False
+    #: Set after the first probe.
     probed: Event = field(default_factory=Event)
 
 
 class EngineEnds:
-    """Watch the engines whose answers broke off, and tell of their ends."""
+    """Watch engines whose responses broke off, and report their crashes."""
 
     def __init__(
         self,
         takes_requests: Callable[[Engine], bool],
-        heard_at: Callable[[EngineId], float],
+        last_response_at: Callable[[EngineId], float],
         log: Log,
         metrics: Metrics,
     ) -> None:
         self._takes_requests = takes_requests
-        self._heard_at = heard_at
+        self._last_response_at = last_response_at
         self._log = log
         self._metrics = metrics
-        self._broken: dict[_Life, _Broken] = {}
-        self._left: dict[_Life, dict[RequestDigest, float]] = {}
+        self._possible: dict[_Incarnation, _PossibleCrash] = {}
+        self._abandoned: dict[_Incarnation, dict[RequestDigest, float]] = {}
         self.on_end: OnEnd = ignore_end
 
-    def broke_off(self, engine: Engine, answer: Break) -> None:
-        """Note that an engine's answer to a request broke off."""
+    def broke_off(self, engine: Engine, broken: Break) -> None:
+        """Record that an engine's response to a request broke off."""
         self._expire()
-        broken = self._broken.get(_life(engine))
-        if broken is not None and answer.began > broken.at:
-            if not self._went_on(broken, answer):
-                # It was gone before it got this request: something before it
-                # takes connections in its place. Good items met several such
-                # engines in a row, and were taken for the cause.
+        crash = self._possible.get(_incarnation(engine))
+        if crash is not None and broken.began > crash.noticed_at:
+            if not self._is_running(crash, broken):
+                # The engine was gone before this request was sent: a proxy in
+                # front of it accepted the connection.
                 return
-            broken = None
-        if broken is None:
-            broken = self._begin(engine)
-        if broken is not None:
-            self._add(broken, answer)
+            crash = None
+        if crash is None:
+            crash = self._start_probes(engine)
+        if crash is not None:
+            self._add(crash, broken)
 
     def left(self, engine: Engine, digest: RequestDigest) -> None:
-        """Note that nobody waits any more for an engine's answer.
+        """Record that the client of a running request disconnected.
 
-        The engine may run the request on, and end under it a moment later.
+        The engine may go on with the request, and crash a moment later.
         """
         self._expire()
-        self._left.setdefault(_life(engine), {})[digest] = clock.uptime()
+        self._abandoned.setdefault(_incarnation(engine), {})[digest] = (
+            clock.uptime()
+        )
 
     def refused(self, engine: Engine) -> None:
-        """Note that an engine's address refused a connection."""
-        broken = self._broken_or_left(engine)
-        if broken is not None and self._takes_requests(engine):
-            self._refuses(broken)
+        """Record that an engine's address refused a connection."""
+        crash = self._find_possible(engine)
+        if crash is not None and self._takes_requests(engine):
+            self._confirm_refused(crash)
 
     def gone(self, engine: Engine) -> None:
-        """Note that an engine left the list, or was started again."""
-        broken = self._broken_or_left(engine)
-        if broken is not None and engine.state is EngineState.READY:
-            self._end(broken, 'left the list')
+        """Record that an engine left the list, or was started again."""
+        crash = self._find_possible(engine)
+        if crash is not None and engine.state is EngineState.READY:
+            self._confirm(crash, 'left the list')
 
     def await_probe(self, digest: RequestDigest) -> None:
-        """Wait until the engines that broke off a request were asked."""
-        for broken in list(self._broken.values()):
-            if digest in broken.digests:
-                broken.probed.wait(_AWAITED_SECONDS)
-
-    def _went_on(self, broken: _Broken, answer: Break) -> bool:
-        """Tell whether an engine has answered since an answer broke off."""
-        if broken.ended:
+        """Wait for the first probe of the engines that broke off a request."""
+        for crash in list(self._possible.values()):
+            if digest in crash.digests:
+                crash.probed.wait(_AWAIT_PROBE_SECONDS)
+
+    def _is_running(self, crash: _PossibleCrash, broken: Break) -> bool:
+        """Return whether an engine has responded since a broken response."""
+        if crash.confirmed:
             return False
-        heard = self._heard_at(broken.engine.engine)
-        return answer.answered or heard > broken.at + _READ_LATE_SECONDS
+        responded = self._last_response_at(crash.engine.engine)
+        return (
+            broken.answered
+            or responded > crash.noticed_at + _READ_DELAY_SECONDS
+        )
 
-    def _begin(self, engine: Engine) -> _Broken | None:
+    def _start_probes(self, engine: Engine) -> _PossibleCrash | None:
         if not self._takes_requests(engine):
-            # Its end was planned, and cuts off what it did not finish.
+            # A draining engine may stop with requests unfinished.
             return None
-        broken = _Broken(engine, clock.uptime())
-        self._broken[_life(engine)] = broken
-        gevent.spawn(self._probe, broken)
-        return broken
+        crash = _PossibleCrash(engine, clock.uptime())
+        self._possible[_incarnation(engine)] = crash
+        gevent.spawn(self._probe, crash)
+        return crash
 
-    def _add(self, broken: _Broken, answer: Break) -> None:
-        if answer.digest in broken.digests:
+    def _add(self, crash: _PossibleCrash, broken: Break) -> None:
+        if broken.digest in crash.digests:
             return
-        held = clock.uptime() - answer.began
-        if not answer.answered and held < _TURNED_AWAY_SECONDS:
-            broken.turned_away.add(answer.digest)
+        elapsed = clock.uptime() - broken.began
+        if not broken.answered and elapsed < _EARLY_CLOSE_SECONDS:
+            crash.closed_early.add(broken.digest)
             return
-        broken.digests.add(answer.digest)
-        if broken.ended:
-            self.on_end(broken.engine, answer.digest)
+        crash.digests.add(broken.digest)
+        if crash.confirmed:
+            self.on_end(crash.engine, broken.digest)
 
-    def _probe(self, broken: _Broken) -> None:
-        for pause in _PROBE_PAUSES:
+    def _probe(self, crash: _PossibleCrash) -> None:
+        for pause in _PROBE_PAUSES_SECONDS:
             gevent.sleep(pause)
-            if refuses_connections(broken.engine.address, _PROBE_SECONDS):
-                self._refuses(broken)
-            broken.probed.set()
-            if broken.ended:
+            if refuses_connections(
+                crash.engine.address, _PROBE_TIMEOUT_SECONDS
+            ):
+                self._confirm_refused(crash)
+            crash.probed.set()
+            if crash.confirmed:
                 return
 
-    def _broken_or_left(self, engine: Engine) -> _Broken | None:
-        life = _life(engine)
-        if life not in self._broken and life in self._left:
-            self._broken[life] = _Broken(engine, clock.uptime())
-        return self._broken.get(life)
+    def _find_possible(self, engine: Engine) -> _PossibleCrash | None:
+        incarnation = _incarnation(engine)
+        if incarnation not in self._possible and incarnation in self._abandoned:
+            self._possible[incarnation] = _PossibleCrash(engine, clock.uptime())
+        return self._possible.get(incarnation)
 
-    def _refuses(self, broken: _Broken) -> None:
-        """End an engine in whose place nothing takes connections.
+    def _confirm_refused(self, crash: _PossibleCrash) -> None:
+        """Confirm the crash of an engine whose address refuses connections.
 
-        Whatever was sent there had met the engine itself.
+        No proxy is in front of it, so requests closed early had reached it.
         """
-        if not broken.ended:
-            broken.digests |= broken.turned_away
-        self._end(broken, 'refuses connections')
+        if not crash.confirmed:
+            crash.digests |= crash.closed_early
+        self._confirm(crash, 'refuses connections')
 
-    def _end(self, broken: _Broken, reason: str) -> None:
-        if broken.ended:
+    def _confirm(self, crash: _PossibleCrash, reason: str) -> None:
+        if crash.confirmed:
             return
-        broken.ended = True
-        since = broken.at - _LEFT_SECONDS
-        for digest, at in self._left.pop(_life(broken.engine), {}).items():
+        crash.confirmed = True
+        since = crash.noticed_at - _ABANDONED_SECONDS
+        for digest, at in self._abandoned.pop(
+            _incarnation(crash.engine), {}
+        ).items():
             if at > since:
-                broken.digests.add(digest)
+                crash.digests.add(digest)
         self._metrics.engine_ends += 1
         self._log.event(
             'engine-ended',
-            engine=broken.engine.engine,
-            born=broken.engine.born,
+            engine=crash.engine.engine,
+            born=crash.engine.born,
             reason=reason,
-            after_ms=round((clock.uptime() - broken.at) * 1000),
-            digests=','.join(sorted(broken.digests)),
+            after_ms=round((clock.uptime() - crash.noticed_at) * 1000),
+            digests=','.join(sorted(crash.digests)),
         )
-        for digest in broken.digests:
-            self.on_end(broken.engine, digest)
+        for digest in crash.digests:
+            self.on_end(crash.engine, digest)
 
     def _expire(self) -> None:
-        """Forget the answers that broke off long ago."""
-        oldest = clock.uptime() - _NEWS_SECONDS
-        for life, broken in list(self._broken.items()):
-            if broken.at < oldest:
-                self._broken.pop(life)
-        for life, left in list(self._left.items()):
-            if max(left.values()) < oldest:
-                self._left.pop(life)
-
-
-def _life(engine: Engine) -> _Life:
-    """Name one life of an engine, which may keep its id."""
+        """Forget broken responses and abandoned requests that are too old."""
+        oldest = clock.uptime() - _MEMORY_SECONDS
+        for incarnation, crash in list(self._possible.items()):
+            if crash.noticed_at < oldest:
+                self._possible.pop(incarnation)
+        for incarnation, abandoned in list(self._abandoned.items()):
+            if max(abandoned.values()) < oldest:
+                self._abandoned.pop(incarnation)
+
+
+def _incarnation(engine: Engine) -> _Incarnation:
+    """Return a key for one start of an engine, which may keep its id."""
     return engine.engine, engine.born
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/evidence.py
@@ -1,15 +1,8 @@
-"""Which requests are kept from engines, by the engines that ended under them.
-
-Load pattern: a request ends each engine that begins to run it, some 0.1 s after
-the begin, and its caller sends it again and again, to any entry. Some eight
-requests run on an engine, so of those under an end seven at least only ran
-beside the cause. An engine that ends takes about 3 s to be back, and all that
-it ran is lost or runs again.
-
-A request is a suspect from the first end on, and quarantined from the third.
-One that only ran beside the cause is rarely there at three ends, and is cleared
-by its first whole answer. Quarantine after two ends would also catch good
-requests that ran beside the cause.
+"""Suspects, the engine crashes of each, and how long they are quarantined.
+
+A request is a suspect from the first crash on and quarantined from the third.
+Most requests that run when an engine crashes did not cause it. They are rarely
+present at three crashes, and their first complete response clears them.
 """
 
 from collections.abc import Iterator, Mapping
@@ -20,151 +13,150 @@
 
 from bendlead_gateway._suspects.digest import RequestDigest
 
-#: Engines that end under a request until it is quarantined.
 ENDS_UNTIL_QUARANTINE = 3
-#: Ends from which on a quarantine has its full length: up to there a request
-#: has had three more tries, one behind each quarantine.
-_ENDS_UNTIL_LONGEST = 6
-#: How long a request is suspected without news, and quarantined at most (s):
-#: a day, in which whoever runs the engines can look at it.
+#: Crashes from which on a quarantine has its full length.
+_CRASHES_UNTIL_MAX_QUARANTINE = 6
+#: Longest quarantine, and the time after which unchanged suspects expire: a day
+#: for the operators to investigate.
 LONGEST_SECONDS = 86_400.0
-#: First quarantine (s) of a request whose caller can send it again whenever it
-#: likes; the next ones are twice as long each.
+#: First quarantine of an online request; it doubles with each further crash.
 REQUEST_SECONDS = 3600.0
-#: The same for an item, which nobody sends again, and which is given up for
-#: good after its retention of a minute or more.
+#: First quarantine of a batch item. It is shorter: an item is lost where its
+#: retention, a minute or more, ends before it may run again.
 ITEM_SECONDS = 15.0
-#: Suspects kept, at 0.54 kB each (traced over 4,000); the oldest go first.
-_MOST_SUSPECTS = 4096
-#: Ends kept of one request, the newest ones.
-_MOST_ENDS = 16
-_MS = 1000
+#: Bound of memory, by eviction of the oldest suspects.
+_MAX_SUSPECTS = 4096
+#: Limit for one suspect, of which the newest are kept.
+_MAX_CRASHES = 16
+_MS_PER_SECOND = 1000
 
 
 class _Suspect(Struct, frozen=True):
-    """Keep what is known of one request, and when that came here."""
+    """A suspect's record with the revision and time of its last change."""
 
     record: SuspectRecord
-    arrival: int
+    revision: int
     changed_at: float
 
 
 class Evidence:
-    """Remember under which ends of engines a request ran.
+    """Requests that were running when engines crashed.
 
-    Records of the same request from several processes join into one, in any
-    order and as often as they come. Moments are Unix seconds.
+    Records of one request from several processes are merged; order and
+    repetition don't matter. Times are Unix seconds.
     """
 
     def __init__(self) -> None:
-        #: In the order of their arrivals.
+        #: By ascending revision.
         self._suspects: dict[RequestDigest, _Suspect] = {}
-        self._arrivals = 0
+        self._revision = 0
         self._quarantined: set[RequestDigest] = set()
 
     @property
     def any_suspects(self) -> bool:
-        """Tell whether any request is suspected."""
+        """Whether any request is a suspect."""
         return bool(self._suspects)
 
     @property
     def any_quarantined(self) -> bool:
-        """Tell whether any request may be quarantined."""
+        """Whether any request has been quarantined."""
         return bool(self._quarantined)
 
     def known(self, digest: RequestDigest) -> bool:
-        """Tell whether anything is remembered of a request."""
+        """Return whether there is a record of a request."""
         return digest in self._suspects
 
     def is_quarantined(self, digest: RequestDigest) -> bool:
-        """Tell whether a request is or has been kept from engines."""
+        """Return whether a request is or has been quarantined."""
         return digest in self._quarantined
 
     def summary(self) -> dict[str, int]:
-        """Count the engines that ended under each suspect."""
+        """Count the crashes of each suspect."""
         return {
             digest: len(suspect.record.ends)
             for digest, suspect in self._suspects.items()
         }
 
     def record(self, digest: RequestDigest) -> SuspectRecord:
-        """Give what is known of a request."""
-        known = self._suspects.get(digest)
-        return known.record if known else SuspectRecord(digest=digest)
+        """Return the record of a request, an empty one if it is unknown."""
+        suspect = self._suspects.get(digest)
+        return suspect.record if suspect else SuspectRecord(digest=digest)
 
     def ends(self, digest: RequestDigest) -> int:
-        """Count the engines that ended under a request."""
+        """Count the engine crashes of a request."""
         return len(self.record(digest).ends)
 
     def quarantine_left(
         self, digest: RequestDigest, first: float, now: float
     ) -> float:
-        """Give the seconds for which a request is still kept from engines.
+        """Return the seconds left of a request's quarantine.
 
-        The first quarantine lasts as many seconds as given.
+        ``first`` is the length of the first quarantine (s).
         """
         if digest not in self._quarantined:
             return 0
         ends = self.record(digest).ends
-        latest = max(ends.values()) / _MS
+        latest = max(ends.values()) / _MS_PER_SECOND
         return max(0, latest + _quarantine_seconds(len(ends), first) - now)
 
-    def hold(self, digest: RequestDigest, life: str, now: float) -> bool:
-        """Take an engine's end under a request; tell whether that is news."""
-        ends = {life: round(now * _MS)}
+    def hold(self, digest: RequestDigest, incarnation: str, now: float) -> bool:
+        """Add an engine crash to a request; return whether it was unknown."""
+        ends = {incarnation: round(now * _MS_PER_SECOND)}
         return self.take(SuspectRecord(digest=digest, ends=ends), now)
 
     def clear(self, digest: RequestDigest, now: float) -> bool:
-        """Hold nothing against a request; tell whether anything was held."""
+        """Drop the crashes of a request; return whether there were any."""
         if not self.ends(digest):
             return False
-        cleared = round(now * _MS)
+        cleared = round(now * _MS_PER_SECOND)
         return self.take(SuspectRecord(digest=digest, cleared_ms=cleared), now)
 
-    def take(self, told: SuspectRecord, now: float) -> bool:
-        """Join what is told with what is known; tell whether that is news."""
-        digest = RequestDigest(told.digest)
+    def take(self, received: SuspectRecord, now: float) -> bool:
+        """Merge a record; return whether that changed anything."""
+        digest = RequestDigest(received.digest)
         known = self.record(digest)
-        joined = _join(known, told)
-        if joined == known:
+        merged = _merge(known, received)
+        if merged == known:
             return False
-        self._put(digest, joined, now)
+        self._put(digest, merged, now)
         return True
 
     def news(
         self, after: int, newer_than: float
     ) -> Iterator[tuple[int, SuspectRecord]]:
-        """List what arrived after an arrival and a moment, the newest first."""
+        """Yield changes after a revision and a time, the newest first."""
         for suspect in reversed(self._suspects.values()):
-            if suspect.arrival <= after or suspect.changed_at < newer_than:
+            if suspect.revision <= after or suspect.changed_at < newer_than:
                 return
-            yield suspect.arrival, suspect.record
+            yield suspect.revision, suspect.record
 
     def forget_old(self, now: float) -> None:
-        """Forget the requests of which there has been no news for long."""
+        """Remove the suspects that have not changed for too long."""
         for digest, suspect in list(self._suspects.items()):
-            if now - _latest(suspect.record) > LONGEST_SECONDS:
+            if now - _latest_change(suspect.record) > LONGEST_SECONDS:
                 self._forget(digest)
 
     def _put(
         self, digest: RequestDigest, record: SuspectRecord, now: float
     ) -> None:
         self._suspects.pop(digest, None)
-        self._arrivals += 1
-        self._suspects[digest] = _Suspect(record, self._arrivals, now)
+        self._revision += 1
+        self._suspects[digest] = _Suspect(record, self._revision, now)
         if len(record.ends) >= ENDS_UNTIL_QUARANTINE:
             self._quarantined.add(digest)
         else:
             self._quarantined.discard(digest)
-        if len(self._suspects) > _MOST_SUSPECTS:
-            self._forget(self._least_wanted())
-
-    def _least_wanted(self) -> RequestDigest:
-        """Find the oldest suspect, one that runs if there is any."""
-        running = (
-            one for one in self._suspects if not self.is_quarantined(one)
+        if len(self._suspects) > _MAX_SUSPECTS:
+            self._forget(self._choose_evicted())
+
+    def _choose_evicted(self) -> RequestDigest:
+        """Return the oldest suspect, one not quarantined if there is any."""
+        not_quarantined = (
+            digest
+            for digest in self._suspects
+            if not self.is_quarantined(digest)
         )
-        return next(running, next(iter(self._suspects)))
+        return next(not_quarantined, next(iter(self._suspects)))
 
     def _forget(self, digest: RequestDigest) -> None:
         self._suspects.pop(digest)
@@ -172,34 +164,34 @@
 
 
 def _quarantine_seconds(ends: int, first: float) -> float:
-    if ends >= _ENDS_UNTIL_LONGEST:
+    if ends >= _CRASHES_UNTIL_MAX_QUARANTINE:
         return LONGEST_SECONDS
     doubled = first * 2 ** (ends - ENDS_UNTIL_QUARANTINE)
     return min(LONGEST_SECONDS, doubled)
 
 
-def _join(known: SuspectRecord, told: SuspectRecord) -> SuspectRecord:
-    cleared = max(known.cleared_ms, told.cleared_ms)
-    ends = dict(_standing(known.ends, cleared))
-    for life, ended in _standing(told.ends, cleared):
-        # Several processes see one end, each at its own moment.
-        ends[life] = min(ended, ends.get(life, ended))
-    newest = sorted(ends.items(), key=_moment)[-_MOST_ENDS:]
+def _merge(known: SuspectRecord, received: SuspectRecord) -> SuspectRecord:
+    cleared = max(known.cleared_ms, received.cleared_ms)
+    ends = dict(_after_clear(known.ends, cleared))
+    for incarnation, ended in _after_clear(received.ends, cleared):
+        # Several processes notice the same crash at different times.
+        ends[incarnation] = min(ended, ends.get(incarnation, ended))
+    newest = sorted(ends.items(), key=_time_of)[-_MAX_CRASHES:]
     return replace(known, ends=dict(newest), cleared_ms=cleared)
 
 
-def _standing(
+def _after_clear(
     ends: Mapping[str, int], cleared: int
 ) -> Iterator[tuple[str, int]]:
-    """List the ends that no whole answer came after."""
-    for life, ended in ends.items():
+    """Yield the crashes after the last complete response."""
+    for incarnation, ended in ends.items():
         if ended > cleared:
-            yield life, ended
+            yield incarnation, ended
 
 
-def _moment(end: tuple[str, int]) -> int:
+def _time_of(end: tuple[str, int]) -> int:
     return end[1]
 
 
-def _latest(record: SuspectRecord) -> float:
-    return max(record.cleared_ms, *record.ends.values(), 0) / _MS
+def _latest_change(record: SuspectRecord) -> float:
+    return max(record.cleared_ms, *record.ends.values(), 0) / _MS_PER_SECOND
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspects.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspects.py
@@ -1,4 +1,4 @@
-"""Suspected requests, for whoever sends requests to engines."""
+"""Suspects that this process and its peers know of."""
 
 import time
 from collections.abc import Callable, Iterable
@@ -17,15 +17,15 @@
 from bendlead_gateway._suspects.keeper import SuspectKeeper
 from bendlead_gateway.types import Engine, EngineId
 
-#: News are told on for this long (s); what is older a process learns from the
-#: object service when it starts.
-_TOLD_SECONDS = 60.0
-#: Records that one report tells; the others follow in the next.
-_MOST_TOLD = 32
+#: Age up to which changes are sent to peers. A process that starts reads older
+#: ones from the object service.
+_GOSSIP_SECONDS = 60.0
+#: Limit of one report; the next one has the remaining records.
+_MAX_REPORTED = 32
 
 
 class Suspects:
-    """Hold ends of engines against requests, here and with all peers."""
+    """Track the requests under which engines crashed, here or at peers."""
 
     def __init__(
         self,
@@ -40,48 +40,49 @@
         self._metrics = metrics
         self._evidence = Evidence()
         self.ends = EngineEnds(takes_requests, heard_at, log, metrics)
-        self.ends.on_end = self._hold
+        self.ends.on_end = self._add_crash
         self.keeper = SuspectKeeper(self._evidence, store, prefix, log)
 
     def quarantine_left(
         self, digest_of: Callable[[], RequestDigest], first: float
     ) -> float:
-        """Give the seconds for which a request must reach no engine.
+        """Return the seconds until a request may be sent to an engine.
 
-        The digest is made only while something is quarantined: good requests
-        pay nothing before.
+        ``first`` is the length of its first quarantine (s). The digest is only
+        computed while some request is quarantined.
         """
         if not self._evidence.any_quarantined:
             return 0
         return self._evidence.quarantine_left(digest_of(), first, time.time())
 
-    def broke_off(self, engine: Engine, answer: Break) -> None:
-        """Note that an engine's answer to a request broke off."""
-        self.ends.broke_off(engine, answer)
+    def broke_off(self, engine: Engine, broken: Break) -> None:
+        """Record that an engine's response to a request broke off."""
+        self.ends.broke_off(engine, broken)
 
-    def left(self, engine: Engine, digest: RequestDigest, began: float) -> None:
-        """Note that nobody waits any more for an engine's answer.
+    def left(
+        self, engine: Engine, digest: RequestDigest, sent_at: float
+    ) -> None:
+        """Record that the client of a running request disconnected.
 
-        Only of a suspect is the engine asked at once whether it has ended: many
-        callers leave, and each question is a connection.
+        The engine is only probed where the request is a suspect: clients
+        disconnect often, and each probe opens a connection.
         """
         if self._evidence.ends(digest):
-            self.ends.broke_off(engine, Break(digest, began, answered=False))
+            self.ends.broke_off(engine, Break(digest, sent_at, answered=False))
         else:
             self.ends.left(engine, digest)
 
     def await_news(self, digest: RequestDigest) -> None:
-        """Wait for news of an engine, where the next end is the last one.
+        """Wait for an engine's probe if one more crash means quarantine.
 
-        A request that may run again goes to another engine some µs after its
-        answer broke off, and the news of the end take 0.03 s. Requests that
-        have been at fewer ends don't wait.
+        Otherwise a retry could reach another engine before the crash is known.
+        Requests with fewer crashes don't wait.
         """
         if self._evidence.ends(digest) == ENDS_UNTIL_QUARANTINE - 1:
             self.ends.await_probe(digest)
 
     def answered(self, digest_of: Callable[[], RequestDigest]) -> None:
-        """Clear a request that an engine has answered whole."""
+        """Clear a request to which an engine sent a complete response."""
         if not self._evidence.any_suspects:
             return
         digest = digest_of()
@@ -89,32 +90,34 @@
             self._log.event('suspect-cleared', digest=digest)
             self.keeper.keep(digest)
 
-    def hear(self, told: Iterable[SuspectRecord]) -> None:
-        """Take what a peer knows."""
+    def hear(self, records: Iterable[SuspectRecord]) -> None:
+        """Merge the records of a peer."""
         now = time.time()
-        for record in told:
+        for record in records:
             if self._evidence.take(record, now):
-                self._note(RequestDigest(record.digest), 'a peer')
+                self._log_suspect(RequestDigest(record.digest), 'a peer')
 
     def news(self, after: int) -> tuple[int, list[SuspectRecord]]:
-        """Tell what is newer than an arrival, and up to which arrival."""
-        found = list(self._evidence.news(after, time.time() - _TOLD_SECONDS))
-        told = list(reversed(found[-_MOST_TOLD:]))
-        if not told:
+        """Return changes after a revision, and the revision they reach."""
+        changes = list(
+            self._evidence.news(after, time.time() - _GOSSIP_SECONDS)
+        )
+        reported = list(reversed(changes[-_MAX_REPORTED:]))
+        if not reported:
             return after, []
-        return told[-1][0], [record for _arrival, record in told]
+        return reported[-1][0], [record for _revision, record in reported]
 
     def summary(self) -> dict[str, int]:
-        """Show the ends under each suspect, for the state dump."""
+        """Count the crashes of each suspect, for the state dump."""
         return self._evidence.summary()
 
-    def _hold(self, engine: Engine, digest: RequestDigest) -> None:
-        life = f'{engine.engine}@{engine.born}'
-        if self._evidence.hold(digest, life, time.time()):
-            self._note(digest, engine.engine)
+    def _add_crash(self, engine: Engine, digest: RequestDigest) -> None:
+        incarnation = f'{engine.engine}@{engine.born}'
+        if self._evidence.hold(digest, incarnation, time.time()):
+            self._log_suspect(digest, engine.engine)
             self.keeper.keep(digest)
 
-    def _note(self, digest: RequestDigest, source: str) -> None:
+    def _log_suspect(self, digest: RequestDigest, source: str) -> None:
         self._log.event(
             'request-suspected',
             digest=digest,
