--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/__init__.py
@@ -1,1 +1,1 @@
-"""Who is let in, and how many requests of each team."""
+"""Authentication, rate limits and fair shares of teams."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/access.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/access.py
@@ -1,4 +1,4 @@
-"""Find the team behind a caller's key, or say why the caller is turned away."""
+"""Authentication of callers by key."""
 
 from http import HTTPStatus
 
@@ -7,18 +7,18 @@
 from bendlead_gateway._fleet.catalog import ConfigurationHolder
 from bendlead_gateway.types import KeyDigest, Team
 
-#: A configuration that may hold the key is fetched within about this long (s).
+#: Time within which a newer configuration is usually fetched.
 _RETRY_SECONDS = 0.3
 
 
 class Admitted(Struct, frozen=True):
-    """Let a caller in; without a team where no key is asked for."""
+    """An accepted caller; ``team`` is ``None`` where no key is required."""
 
     team: Team | None
 
 
 class TurnedAway(Struct, frozen=True):
-    """Tell why a caller is not let in, and when to come back (s), if ever."""
+    """A rejected caller; ``retry_after`` (s) is set where a retry may help."""
 
     reason: str
     status: HTTPStatus
@@ -26,7 +26,7 @@
 
 
 class Access:
-    """Judge callers by the configuration in force here."""
+    """Check keys against the current configuration of this process."""
 
     def __init__(self, configuration: ConfigurationHolder) -> None:
         self._configuration = configuration
@@ -34,10 +34,10 @@
     def judge(
         self, key: KeyDigest | None, *, public: bool, surely_newest: bool
     ) -> Admitted | TurnedAway:
-        """Let a caller in or turn it away.
+        """Return the caller's team, or why the caller is rejected.
 
-        Only the newest configuration shows that no team has a key: an older
-        one may lack a key that was added since.
+        Only the newest configuration can show that a key is unknown: an older
+        one lacks keys that were added since.
         """
         if not self._configuration.asks_for_keys:
             return Admitted(None)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
@@ -1,4 +1,4 @@
-"""Hold each team to its limit over all entries."""
+"""Rate limits of teams, shared by all entries."""
 
 import math
 import time
@@ -19,32 +19,32 @@
 from bendlead_gateway._teams.told import TeamCounts, ToldByEntry
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 
-_MS = 1000
-#: An entry asks others for their levels for this long (s) after its start; it
-#: has heard each of those it is linked with by then.
-_ASK_SECONDS = 1.5
-#: News of an entry that come later than this (s) tell of more than has not
-#: drained away yet.
-_LATE_SECONDS = 1.5
-#: Who is heard is found out this often (s).
-_LOOK_SECONDS = 0.05
+_MS_PER_SECOND = 1000
+#: Time after the start in which peers are asked for their levels; each linked
+#: peer has reported by then.
+_STARTUP_SECONDS = 1.5
+#: Interval between two reports of an entry from which on part of the requests
+#: has drained from the bucket already.
+_OVERDUE_SECONDS = 1.5
+#: Interval of updates of the group of reachable entries.
+_GROUP_UPDATE_SECONDS = 0.05
 
 
 class _Usage(Struct):
-    """Keep a team's bucket and what was let through here."""
+    """A team's limit and the buckets that enforce it."""
 
     bucket: Bucket
-    #: What counts while this entry hears too few others. One request is let
-    #: through at first: little enough for all entries to start at once.
-    alone: Bucket
+    #: Applies while this entry reaches no majority of the entries. It admits
+    #: one request at first, so that all entries may start at the same time.
+    minority_bucket: Bucket
     limit: Team
 
 
 class TeamLimits:
-    """Count requests of teams here and at the entries that are heard.
+    """Enforce the limits of teams over this entry and the reachable ones.
 
-    A new entry can't know what was let through before it. It takes bursts for
-    used up, and asks others for what they know.
+    An entry that starts doesn't know earlier requests. It assumes that bursts
+    are used up, and asks its peers for their levels.
     """
 
     def __init__(
@@ -56,77 +56,78 @@
         life: int = 0,
         shares: TeamShares | None = None,
     ) -> None:
-        """Start with no knowledge; ``life`` tells lives of a process apart.
+        """Start with full buckets.
 
-        ``shares`` is told what each team had; teams without a limit are counted
-        for it too.
+        ``life`` identifies this start of the process; the default is the time
+        of the start (Unix ms). ``shares`` receives the requests of all teams,
+        also of those without a limit.
         """
         self._window = window
         self._find_group = group
         self._team_named = team_named
         self._now = now
         self._started = now()
-        self._life = life or round(time.time() * _MS)
+        self._life = life or round(time.time() * _MS_PER_SECOND)
         self._usage: dict[TeamName, _Usage] = {}
         self._own = OwnCounts(shares)
-        self._told: dict[NodeName, ToldByEntry] = {}
+        self._reported: dict[NodeName, ToldByEntry] = {}
         self._group = Group(1, 1)
-        self._look_again_at = 0.0
+        self._next_group_update = 0.0
 
     @property
     def group(self) -> Group:
-        """Tell which entries were heard at the last look."""
+        """The reachable entries as of the last update."""
         return self._group
 
     @property
     def asks(self) -> bool:
-        """Tell whether others are asked for their levels."""
-        return self._now() - self._started < _ASK_SECONDS
+        """Whether peers are asked for their levels."""
+        return self._now() - self._started < _STARTUP_SECONDS
 
     @property
     def counts(self) -> TeamCounts:
-        """Give what was let through here, of teams with requests lately."""
+        """The requests admitted here, of teams with recent requests."""
         return TeamCounts(self._life, self._own.told(self._now()))
 
     def levels(self) -> dict[TeamName, float]:
-        """Give the requests of each team that still count."""
-        found: dict[TeamName, float] = {}
-        for name, one in self._usage.items():
-            self._drain(one)
-            if one.bucket.level > 0:
-                found[name] = round(one.bucket.level, 1)
-        return found
+        """Return the bucket level of each team with requests in its bucket."""
+        levels: dict[TeamName, float] = {}
+        for name, usage in self._usage.items():
+            self._drain(usage)
+            if usage.bucket.level > 0:
+                levels[name] = round(usage.bucket.level, 1)
+        return levels
 
     def usage(self) -> dict[TeamName, dict[str, float]]:
-        """Show what each team uses of its limit, for the state dump."""
+        """Return the limit and use of each team, for the state dump."""
         levels = self.levels()
         return {
             name: {
-                'rate': one.limit.rate,
-                'burst': one.limit.burst,
+                'rate': usage.limit.rate,
+                'burst': usage.limit.burst,
                 'level': levels.get(name, 0),
                 'passed_here': self._own.count(name),
             }
-            for name, one in self._usage.items()
+            for name, usage in self._usage.items()
         }
 
     def take(self, team: Team) -> float:
-        """Let a request through, or give the seconds until one fits."""
+        """Count a request and return 0, or the seconds until one fits."""
         if not team.limited:
             if self._own.shares:
                 self._own.add(team.name, 1, self._now())
             return 0
         usage = self._usage_of(team)
         allowed = self._drain(usage)
-        bucket = usage.bucket if self._group.majority else usage.alone
-        unseen = self._unseen(team.name, self._now())
-        wait = bucket.wait(unseen, allowed)
+        bucket = usage.bucket if self._group.majority else usage.minority_bucket
+        unreported = self._estimate_unreported(team.name, self._now())
+        wait = bucket.wait(unreported, allowed)
         if wait <= 0:
             self._add(usage, 1)
         return wait
 
     def give_back(self, team: Team) -> None:
-        """Take a request back that has not run."""
+        """Uncount a request that did not run."""
         if not team.limited and self._own.shares:
             self._own.add(team.name, -1, self._now())
             return
@@ -135,25 +136,30 @@
             self._add(usage, -1)
 
     def hear(
-        self, node: NodeName, told: TeamCounts, version: int, heard: float
+        self,
+        node: NodeName,
+        counts: TeamCounts,
+        version: int,
+        reported_at: float,
     ) -> None:
-        """Take what an entry told at a moment on the steady clock (s).
+        """Add the requests that another entry has admitted.
 
-        ``version`` is its number for these counts, which rises.
+        ``version`` is the entry's rising number of these counts,
+        ``reported_at`` their time on the steady clock (s).
         """
-        known = self._told.setdefault(node, ToldByEntry())
-        pause = heard - known.heard
-        late = pause > _LATE_SECONDS
-        came = known.take(told, version, heard, new=not self.asks)
+        known = self._reported.setdefault(node, ToldByEntry())
+        interval = reported_at - known.heard
+        overdue = interval > _OVERDUE_SECONDS
+        admitted = known.take(counts, version, reported_at, new=not self.asks)
         if self._own.shares:
-            self._own.shares.hear(came, pause)
-        for name, added in came.items():
+            self._own.shares.hear(admitted, interval)
+        for name, added in admitted.items():
             usage = self._usage_named(name)
             if usage is not None and added:
-                self._add_told(usage, added, late=late)
+                self._add_reported(usage, added, overdue=overdue)
 
     def adopt(self, levels: Mapping[str, float]) -> None:
-        """Take the levels that another entry knows, while here they are not."""
+        """Take over the levels of a peer, shortly after the start only."""
         if not self.asks:
             return
         for name, level in levels.items():
@@ -161,22 +167,24 @@
             if usage is not None:
                 usage.bucket.level = max(usage.bucket.level, level)
 
-    def _unseen(self, team: TeamName, now: float) -> float:
-        return sum(one.unseen(team, now) for one in self._told.values())
+    def _estimate_unreported(self, team: TeamName, now: float) -> float:
+        return sum(entry.unseen(team, now) for entry in self._reported.values())
 
-    def _add_told(self, usage: _Usage, added: int, *, late: bool) -> None:
-        """Add what others let through.
+    def _add_reported(
+        self, usage: _Usage, added: int, *, overdue: bool
+    ) -> None:
+        """Add requests that another entry admitted.
 
-        What was not heard of for long has drained away in part; so it fills a
-        bucket and no more.
+        Part of what an overdue report adds has drained already, so it fills
+        the bucket up to its capacity only.
         """
         allowed = self._drain(usage)
-        most = allowed.capacity if late else math.inf
-        for bucket in (usage.bucket, usage.alone):
-            bucket.add(added, most)
+        max_level = allowed.capacity if overdue else math.inf
+        for bucket in (usage.bucket, usage.minority_bucket):
+            bucket.add(added, max_level)
 
     def _add(self, usage: _Usage, requests: int) -> None:
-        for bucket in (usage.bucket, usage.alone):
+        for bucket in (usage.bucket, usage.minority_bucket):
             bucket.add(requests)
         self._own.add(usage.limit.name, requests, self._now())
 
@@ -184,18 +192,18 @@
         allowed = self._allowed(usage.limit)
         now = self._now()
         usage.bucket.drain(now, allowed)
-        usage.alone.drain(now, allowed)
+        usage.minority_bucket.drain(now, allowed)
         if self._group.majority:
-            # Whoever is cut off later goes on from what was known before.
-            usage.alone.level = usage.bucket.level
+            # Continue from this level if the majority becomes unreachable.
+            usage.minority_bucket.level = usage.bucket.level
         return allowed
 
     def _usage_of(self, team: Team) -> _Usage:
         usage = self._usage.get(team.name)
         if usage is None:
-            usage = self._begin(team)
+            usage = self._start_usage(team)
         elif usage.limit != team:
-            self._change(usage, team)
+            self._change_limit(usage, team)
         return usage
 
     def _usage_named(self, name: TeamName) -> _Usage | None:
@@ -204,7 +212,7 @@
             return None
         return self._usage_of(team)
 
-    def _begin(self, team: Team) -> _Usage:
+    def _start_usage(self, team: Team) -> _Usage:
         usage = _Usage(
             Bucket(most_at_once(team, self._window), self._started),
             Bucket(max(0, self._allowed(team).capacity - 1), self._now()),
@@ -213,15 +221,15 @@
         self._usage[team.name] = usage
         return usage
 
-    def _change(self, usage: _Usage, team: Team) -> None:
-        """Hold a team to a new limit; what came before counts up to it."""
+    def _change_limit(self, usage: _Usage, team: Team) -> None:
+        """Apply a new limit; the level is cut to the new capacity."""
         usage.limit = team
-        most = self._allowed(team).capacity
-        usage.bucket.level = min(usage.bucket.level, most)
+        capacity = self._allowed(team).capacity
+        usage.bucket.level = min(usage.bucket.level, capacity)
 
     def _allowed(self, team: Team) -> Allowance:
         now = self._now()
-        if now >= self._look_again_at:
-            self._look_again_at = now + _LOOK_SECONDS
+        if now >= self._next_group_update:
+            self._next_group_update = now + _GROUP_UPDATE_SECONDS
             self._group = self._find_group()
         return allowance(team, self._window, self._group)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/own_counts.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/own_counts.py
@@ -1,50 +1,50 @@
-"""What this process let through of each team, to be told to others."""
+"""Requests of teams that this process admitted, as reported to peers."""
 
 from msgspec import Struct, field
 
 from bendlead_gateway._teams.shares import TeamShares
 from bendlead_gateway.types import TeamName
 
-#: A count is told for as long (s) after its last change: who has heard nothing
-#: for longer counts as not heard.
-_TOLD_SECONDS = 1.5
+#: Time after its last change for which a count is reported: peers that got no
+#: report for longer count this process as unreachable.
+_REPORTED_SECONDS = 1.5
 
 
 class _OwnCount(Struct):
-    """Count the requests of a team that were let through here."""
+    """The requests of one team since the start."""
 
     count: int = 0
-    changed: float = 0
+    changed_at: float = 0
 
 
 class OwnCounts(Struct):
-    """Count by team, and tell the shares if there are any.
+    """Count admitted requests by team, also for the fair shares.
 
-    A count goes on when its team gets a limit or loses it: others would take a
-    smaller one for requests given back.
+    Counts are kept when a team gets or loses its limit: peers would take a
+    smaller count for requests that did not run.
     """
 
     shares: TeamShares | None = None
     _counts: dict[TeamName, _OwnCount] = field(default_factory=dict)
 
     def add(self, team: TeamName, requests: int, now: float) -> None:
-        """Count requests, or take back those that did not run."""
+        """Add requests; a negative number for those that did not run."""
         own = self._counts.setdefault(team, _OwnCount())
         own.count += requests
-        own.changed = now
+        own.changed_at = now
         if self.shares:
             self.shares.add(team, requests)
 
     def count(self, team: TeamName) -> int:
-        """Give what was let through since the start."""
+        """Return the requests of a team since the start."""
         own = self._counts.get(team)
         return own.count if own else 0
 
     def told(self, now: float) -> dict[TeamName, int]:
-        """Give the counts that changed lately."""
-        oldest = now - _TOLD_SECONDS
+        """Return the counts that changed recently."""
+        oldest = now - _REPORTED_SECONDS
         return {
             name: own.count
             for name, own in self._counts.items()
-            if own.changed > oldest
+            if own.changed_at > oldest
         }
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/reception.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/reception.py
@@ -1,4 +1,4 @@
-"""Let callers in by their keys and within the limits of their teams."""
+"""Admission of requests by key and by the rate limit of the team."""
 
 import random
 from collections.abc import Callable
@@ -18,7 +18,7 @@
 
 
 class Reception:
-    """Turn away who has no key, and who is over the limit of its team."""
+    """Reject callers without a valid key, and requests over a team's limit."""
 
     def __init__(
         self,
@@ -29,7 +29,11 @@
         log: Log,
         metrics: Metrics,
     ) -> None:
-        """Judge callers; ``surely_newest`` tells of the configuration."""
+        """Check requests of one entry.
+
+        ``surely_newest`` returns whether the configuration in force is known
+        to be the newest.
+        """
         self._dialect = dialect
         self._configuration = configuration
         self._access = Access(configuration)
@@ -37,26 +41,26 @@
         self._log = log
         self._metrics = metrics
         self.limits = limits
-        self._returns = ReturnTimes(clock.uptime)
+        self._retry_times = ReturnTimes(clock.uptime)
 
     def admit(
         self, request: Request, responder: Responder, *, public: bool
     ) -> Admitted | None:
-        """Let a caller in, or answer it."""
-        judged = self._access.judge(
+        """Return the caller's team, or send an error and return ``None``."""
+        decision = self._access.judge(
             self._dialect.caller_key(request.headers),
             public=public,
             surely_newest=self._surely_newest(),
         )
-        if isinstance(judged, Admitted):
-            return judged
-        self._turn_away(request, responder, judged)
+        if isinstance(decision, Admitted):
+            return decision
+        self._reject(request, responder, decision)
         return None
 
     def count(
         self, facts: RequestFacts, responder: Responder, team: Team | None
     ) -> bool:
-        """Count a request to its team, or answer that it is one too many."""
+        """Return whether a team is within its limit; else send a 429."""
         if team is None:
             return True
         wait = self.limits.take(team)
@@ -76,14 +80,15 @@
         )
         rate = team.rate / self.limits.group.heard
         over = Over(team.name, wait, rate, facts.patience)
-        later = self._returns.deal(over, random.random)
+        retry_after = self._retry_times.deal(over, random.random)
         responder.answer(
-            HTTPStatus.TOO_MANY_REQUESTS, [('Retry-After', f'{later:.3f}')]
+            HTTPStatus.TOO_MANY_REQUESTS,
+            [('Retry-After', f'{retry_after:.3f}')],
         )
         return False
 
-    def _turn_away(
-        self, request: Request, responder: Responder, why: TurnedAway
+    def _reject(
+        self, request: Request, responder: Responder, rejection: TurnedAway
     ) -> None:
         facts = self._dialect.request_facts(request.headers)
         self._log.event(
@@ -91,10 +96,10 @@
             request=facts.request if facts else '-',
             target=request.target,
             version=self._configuration.version,
-            status=int(why.status),
-            reason=why.reason,
+            status=int(rejection.status),
+            reason=rejection.reason,
         )
         headers = []
-        if why.retry_after is not None:
-            headers.append(('Retry-After', f'{why.retry_after:.3f}'))
-        responder.answer(why.status, headers)
+        if rejection.retry_after is not None:
+            headers.append(('Retry-After', f'{rejection.retry_after:.3f}'))
+        responder.answer(rejection.status, headers)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/returns.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/returns.py
@@ -1,8 +1,7 @@
-"""When callers over the limit of their team come back.
+"""Retry times of requests over their team's limit.
 
-Load pattern: a team sends many times its limit for some seconds. All that are
-refused in one moment would be told the same wait, and come back as one burst of
-which the limit lets one through.
+Spreads the retries: requests rejected together must not be retried as one burst
+of which the limit admits a single request.
 """
 
 from collections.abc import Callable
@@ -12,20 +11,21 @@
 from bendlead_gateway._scheduling.view import RandomSource
 from bendlead_gateway.types import TeamName
 
-#: Callers come back within at least this (s) of one another.
-_LEAST_SPREAD = 0.2
-#: A client ignores a time to come back beyond this part of what it has left.
-#: One that does not say is told a time up to the longest (s).
-_LONGEST_PART = 1 / 3
-_LONGEST = 1.0
-#: Times are dealt to this many teams; past that the oldest are forgotten.
-_MOST_TEAMS = 1000
+_MIN_SPREAD_SECONDS = 0.2
+#: Clients ignore a retry time beyond this part of their remaining timeout.
+_MAX_TIMEOUT_SHARE = 1 / 3
+#: Limit for clients that state no timeout.
+_MAX_RETRY_SECONDS = 1.0
+#: Bound of memory, by eviction of the oldest teams.
+_MAX_TEAMS = 1000
 
 
 class Over(Struct, frozen=True):
-    """Say of a caller whose team has no room when it has some (s).
+    """A rejected request.
 
-    ``rate`` is the requests a second of the team for which there is room here.
+    ``wait`` is the time until its team is within the limit (s), ``rate`` what
+    this entry may admit of the team (1/s), ``patience`` the client's timeout
+    (s).
     """
 
     team: TeamName
@@ -35,31 +35,34 @@
 
 
 class ReturnTimes:
-    """Deal each caller of a team a time of its own."""
+    """Assign each rejected request of a team its own retry time."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self._now = now
-        self._dealt: dict[TeamName, float] = {}
+        #: Time of the next free retry, by team.
+        self._next_free: dict[TeamName, float] = {}
 
-    def deal(self, over: Over, chance: RandomSource) -> float:
-        """Give the seconds until a caller should come back."""
+    def deal(self, over: Over, draw: RandomSource) -> float:
+        """Return the seconds after which a request should be retried."""
         now = self._now()
-        first = max(now + over.wait, self._dealt.pop(over.team, 0.0))
-        later = first - now
-        longest = self._longest(over)
-        if later < longest:
-            self._remember(over.team, first + 1 / over.rate)
-            return later + chance() * max(over.wait, _LEAST_SPREAD)
-        # All times are dealt that it would heed.
-        self._remember(over.team, first)
-        return over.wait + chance() * max(_LEAST_SPREAD, longest - over.wait)
+        first = max(now + over.wait, self._next_free.pop(over.team, 0.0))
+        delay = first - now
+        max_delay = self._max_delay(over)
+        if delay < max_delay:
+            self._set_next_free(over.team, first + 1 / over.rate)
+            return delay + draw() * max(over.wait, _MIN_SPREAD_SECONDS)
+        # No time is free that the client would accept.
+        self._set_next_free(over.team, first)
+        return over.wait + draw() * max(
+            _MIN_SPREAD_SECONDS, max_delay - over.wait
+        )
 
-    def _longest(self, over: Over) -> float:
+    def _max_delay(self, over: Over) -> float:
         if over.patience is None:
-            return _LONGEST
-        return over.patience * _LONGEST_PART
+            return _MAX_RETRY_SECONDS
+        return over.patience * _MAX_TIMEOUT_SHARE
 
-    def _remember(self, team: TeamName, dealt: float) -> None:
-        self._dealt[team] = dealt
-        if len(self._dealt) > _MOST_TEAMS:
-            self._dealt.pop(next(iter(self._dealt)))
+    def _set_next_free(self, team: TeamName, retry_at: float) -> None:
+        self._next_free[team] = retry_at
+        if len(self._next_free) > _MAX_TEAMS:
+            self._next_free.pop(next(iter(self._next_free)))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
@@ -1,4 +1,4 @@
-"""What each team had lately over all entries, and whose turn it is by that."""
+"""Recent requests of teams over all entries, and their fair shares."""
 
 import math
 from collections.abc import Callable, Iterable, Mapping
@@ -15,35 +15,33 @@
 )
 from bendlead_gateway.types import Team, TeamName
 
-#: What a team had counts less by a factor of e after each of these (s): whoever
-#: had too little gets its share back within about that time.
+#: Time in which the weight of past requests falls by a factor of e.
 LATELY_SECONDS = 1.0
-#: So many requests count to nobody's share. They come at random, and a team
-#: that sends one a second would be over its share half of the time.
-_NOT_COUNTED = 2.0
-#: Shares are found anew this often (s), where somebody asks for them.
-_LOOK_SECONDS = 0.1
-#: Sums are scaled down once their scale has grown by this; teams that had next
-#: to nothing since then are dropped.
-_MOST_SCALE = 1e6
-_NOTHING = 1e-3
+#: Requests of each team that don't count towards its share, so that random
+#: arrivals don't put a small team over it.
+_FREE_REQUESTS = 2.0
+#: Least time between two computations of the shares.
+_UPDATE_INTERVAL_SECONDS = 0.1
+#: Scale at which the sums are scaled back to 1, and teams below the negligible
+#: number of requests are dropped.
+_MAX_SCALE = 1e6
+_NEGLIGIBLE_REQUESTS = 1e-3
 
 
-class _Found(Struct, frozen=True):
-    """Keep the shares by priority that held at some moment."""
+class _Snapshot(Struct, frozen=True):
+    """Shares by priority as of some time."""
 
-    made: float = -math.inf
+    made_at: float = -math.inf
     by_priority: dict[int, float] = {}  # noqa: RUF012
-    usual_weight: float = 1
-    #: What each busy team had then.
-    had: dict[TeamName, float] = {}  # noqa: RUF012
+    default_weight: float = 1
+    #: Recent requests of each busy team at that time.
+    used: dict[TeamName, float] = {}  # noqa: RUF012
 
 
 class TeamShares:
-    """Add up what teams had, with less weight the longer ago it was.
+    """Sum the requests of teams with exponential decay, and compute shares.
 
-    All sums shrink alike, so instead of each of them the scale of what is added
-    changes: a look at ten thousand teams is a pass over plain numbers.
+    Instead of decaying each sum, new requests are added with a growing scale.
     """
 
     def __init__(
@@ -55,99 +53,101 @@
         self._now = now
         self._since = now()
         self._sums: dict[TeamName, float] = {}
-        self._found = _Found()
+        self._snapshot = _Snapshot()
 
     def add(self, team: TeamName, requests: float) -> None:
-        """Count requests of a team, or take back those that did not run."""
-        added = requests * self._scale()
-        self._sums[team] = max(0, self._sums.get(team, 0.0) + added)
-
-    def hear(self, came: Mapping[TeamName, int], pause: float) -> None:
-        """Count what another entry let through in a pause (s)."""
-        # Of what came in a long pause the last part counts.
-        part = LATELY_SECONDS / max(pause, LATELY_SECONDS)
-        for name, requests in came.items():
+        """Add requests; a negative number for those that did not run."""
+        scaled = requests * self._scale()
+        self._sums[team] = max(0, self._sums.get(team, 0.0) + scaled)
+
+    def hear(self, admitted: Mapping[TeamName, int], interval: float) -> None:
+        """Add what another entry admitted in an interval (s)."""
+        # Only the last part of a long interval is recent.
+        part = LATELY_SECONDS / max(interval, LATELY_SECONDS)
+        for name, requests in admitted.items():
             if requests:
                 self.add(name, requests * part)
 
     def turn(self, team: Team | None) -> ShareUse:
-        """Tell how a team stands to its share now."""
+        """Return a team's recent requests and its share."""
         if team is None:
             return UNCONTESTED
-        return self._turn(team, self._scale(), self._current())
+        return self._share_use(team, self._scale(), self._current())
 
     def summary(self) -> dict[TeamName, dict[str, float]]:
-        """Show what teams had and their shares, a second, for the dump."""
+        """Return requests and shares by team (1/s), for the state dump."""
         scale = self._scale()
-        found = self._current()
-        shown: dict[TeamName, dict[str, float]] = {}
-        for name, added in self._sums.items():
+        snapshot = self._current()
+        summary: dict[TeamName, dict[str, float]] = {}
+        for name, scaled in self._sums.items():
             team = self._team_named(name)
-            if team is None or added < _NOTHING * scale:
+            if team is None or scaled < _NEGLIGIBLE_REQUESTS * scale:
                 continue
-            turn = self._turn(team, scale, found)
-            shown[name] = {'had': round(added / scale / LATELY_SECONDS, 2)}
-            if turn.share < math.inf:
-                shown[name]['share'] = round(turn.share / LATELY_SECONDS, 2)
-        return shown
-
-    def _turn(self, team: Team, scale: float, found: _Found) -> ShareUse:
-        share = found.by_priority.get(team.priority)
+            use = self._share_use(team, scale, snapshot)
+            summary[name] = {'had': round(scaled / scale / LATELY_SECONDS, 2)}
+            if use.share < math.inf:
+                summary[name]['share'] = round(use.share / LATELY_SECONDS, 2)
+        return summary
+
+    def _share_use(
+        self, team: Team, scale: float, snapshot: _Snapshot
+    ) -> ShareUse:
+        share = snapshot.by_priority.get(team.priority)
         if share is None:
             return ShareUse(self._sums.get(team.name, 0.0) / scale)
-        # Of the same moment as the share: in a burst that rises, a lone team
-        # would be over what it had a moment ago.
-        had = found.had.get(team.name, 0.0)
-        weight = team.rate or found.usual_weight
-        return ShareUse(had, share * weight + _NOT_COUNTED)
+        # Requests as of the time of the share: those of now could exceed the
+        # share of an only team whose load rises.
+        used = snapshot.used.get(team.name, 0.0)
+        weight = team.rate or snapshot.default_weight
+        return ShareUse(used, share * weight + _FREE_REQUESTS)
 
     def _scale(self) -> float:
-        """Give what a request counts that comes now."""
+        """Return the weight of a request that is added now."""
         scale = math.exp((self._now() - self._since) / LATELY_SECONDS)
-        if scale < _MOST_SCALE:
+        if scale < _MAX_SCALE:
             return scale
         self._since = self._now()
         self._sums = {
-            name: added / scale
-            for name, added in self._sums.items()
-            if added > _NOTHING * scale
+            name: scaled / scale
+            for name, scaled in self._sums.items()
+            if scaled > _NEGLIGIBLE_REQUESTS * scale
         }
         return 1
 
-    def _current(self) -> _Found:
+    def _current(self) -> _Snapshot:
         now = self._now()
-        if now - self._found.made >= _LOOK_SECONDS:
-            self._found = self._find(now)
-        return self._found
-
-    def _find(self, now: float) -> _Found:
-        known = self._beyond(_NOT_COUNTED)
-        usual = _usual_weight(team for team, _had in known)
-        found = shares_by_priority(
+        if now - self._snapshot.made_at >= _UPDATE_INTERVAL_SECONDS:
+            self._snapshot = self._compute(now)
+        return self._snapshot
+
+    def _compute(self, now: float) -> _Snapshot:
+        busy = self._busy_teams(_FREE_REQUESTS)
+        default = _default_weight(team for team, _used in busy)
+        by_priority = shares_by_priority(
             [
-                TeamUsage(had, team.rate or usual, team.priority)
-                for team, had in known
+                TeamUsage(used, team.rate or default, team.priority)
+                for team, used in busy
             ]
         )
-        had = {team.name: had + _NOT_COUNTED for team, had in known}
-        return _Found(now, dict(found), usual, had)
+        used = {team.name: used + _FREE_REQUESTS for team, used in busy}
+        return _Snapshot(now, dict(by_priority), default, used)
 
-    def _beyond(self, least: float) -> list[tuple[Team, float]]:
-        """List what teams had beyond some requests.
+    def _busy_teams(self, free: float) -> list[tuple[Team, float]]:
+        """Return the teams with more than ``free`` requests, and the excess.
 
-        A team that was removed has no share any more.
+        Teams that were removed from the configuration are left out.
         """
         scale = self._scale()
-        scaled = least * scale
+        scaled_free = free * scale
         busy = [
-            (self._team_named(name), (added - scaled) / scale)
-            for name, added in self._sums.items()
-            if added > scaled
+            (self._team_named(name), (scaled - scaled_free) / scale)
+            for name, scaled in self._sums.items()
+            if scaled > scaled_free
         ]
-        return [(team, had) for team, had in busy if team is not None]
+        return [(team, used) for team, used in busy if team is not None]
 
 
-def _usual_weight(teams: Iterable[Team]) -> float:
-    """Give the weight of a team without a limit among those with one."""
+def _default_weight(teams: Iterable[Team]) -> float:
+    """Return the weight of teams without a limit: the mean of the others."""
     limits = [team.rate for team in teams if team.limited]
     return fmean(limits) if limits else 1
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/told.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/told.py
@@ -1,4 +1,4 @@
-"""What other entries told of the requests that they let through."""
+"""Requests that other entries admitted, as reported by them."""
 
 from collections.abc import Mapping
 
@@ -6,19 +6,19 @@
 
 from bendlead_gateway.types import TeamName
 
-#: Weight of the newest rate, which holds over some tenths of a second.
-_NEWEST = 0.5
-#: An entry that was not heard for longer than this (s) is none of the group,
-#: and its part is left out elsewhere.
-_LONGEST_UNSEEN = 1.5
-#: Two counts that are closer than this (s) tell no rate.
-_SHORTEST_PAUSE = 0.02
+#: Weight of the newest rate in the moving average.
+_SMOOTHING_FACTOR = 0.5
+#: Age from which on a report counts no more: its entry is unreachable then, and
+#: has left the group.
+_MAX_REPORT_AGE_SECONDS = 1.5
+#: Least interval between two counts from which a rate is computed.
+_MIN_INTERVAL_SECONDS = 0.02
 
 
 class TeamCounts(Struct, frozen=True):
-    """Tell the requests of each team let through in one life of an entry.
+    """Requests of each team that an entry admitted since its start.
 
-    ``life`` is the Unix millisecond of its start. Teams that had none lately
+    ``life`` is the time of that start (Unix ms). Teams without recent requests
     are left out.
     """
 
@@ -26,70 +26,77 @@
     counts: Mapping[TeamName, int] = field(default_factory=dict)
 
 
-class _Known(Struct):
-    """Keep the count of one team at one entry."""
+class _TeamCount(Struct):
+    """The count of one team at one entry, and the rate of requests (1/s)."""
 
     count: int
-    heard: float
+    reported_at: float
     rate: float = 0
 
-    def take(self, count: int, heard: float) -> int:
-        """Take a later count; give how many came since the one before."""
+    def update(self, count: int, reported_at: float) -> int:
+        """Set a later count; return how many requests it adds."""
         added = count - self.count
-        pause = heard - self.heard
-        if pause >= _SHORTEST_PAUSE:
-            self.rate += (max(0, added) / pause - self.rate) * _NEWEST
-            self.heard = heard
+        interval = reported_at - self.reported_at
+        if interval >= _MIN_INTERVAL_SECONDS:
+            self.rate += (
+                max(0, added) / interval - self.rate
+            ) * _SMOOTHING_FACTOR
+            self.reported_at = reported_at
         self.count = count
         return added
 
 
 class ToldByEntry(Struct):
-    """Keep what one entry told last, on the steady clock (s)."""
+    """The latest counts of one entry; ``heard`` is their time (s)."""
 
     life: int = 0
     version: int = -1
     heard: float = 0
-    _teams: dict[TeamName, _Known] = field(default_factory=dict)
+    _teams: dict[TeamName, _TeamCount] = field(default_factory=dict)
 
     def take(
-        self, told: TeamCounts, version: int, heard: float, *, new: bool
+        self,
+        reported: TeamCounts,
+        version: int,
+        reported_at: float,
+        *,
+        new: bool,
     ) -> dict[TeamName, int]:
-        """Take its counts and give what was added.
+        """Update the counts; return the added requests by team.
 
-        What it had let through before it was first heard counts where the
-        entry is ``new``; else that is known from others, or long past.
+        Requests before the first report count if the entry is ``new``; else
+        they are known from peers, or too old.
         """
-        older = told.life < self.life or version < self.version
-        if older and heard - self.heard < _LONGEST_UNSEEN:
-            # It came by a longer way than what is known. Later on it is a new
-            # life of a machine whose clock was set back.
+        older = reported.life < self.life or version < self.version
+        if older and reported_at - self.heard < _MAX_REPORT_AGE_SECONDS:
+            # A relayed report that is out of date. With a longer gap the
+            # entry has restarted after its clock was set back.
             return {}
-        if told.life != self.life:
+        if reported.life != self.life:
             new = new or self.life > 0
-            self.life = told.life
+            self.life = reported.life
             self._teams.clear()
-        self.heard = max(self.heard, heard)
+        self.heard = max(self.heard, reported_at)
         if version == self.version:
             return {}
         self.version = version
         added: dict[TeamName, int] = {}
-        for team, count in told.counts.items():
+        for team, count in reported.counts.items():
             known = self._teams.get(team)
             if known is None:
-                self._teams[team] = _Known(count, heard)
+                self._teams[team] = _TeamCount(count, reported_at)
                 added[team] = count if new else 0
             else:
-                added[team] = known.take(count, heard)
+                added[team] = known.update(count, reported_at)
         for team, idle in self._teams.items():
-            if team not in told.counts:
+            if team not in reported.counts:
                 idle.rate = 0
         return added
 
     def unseen(self, team: TeamName, now: float) -> float:
-        """Estimate the requests of a team that it let through since then."""
+        """Estimate a team's requests that the entry admitted since then."""
         known = self._teams.get(team)
         if known is None:
             return 0
         age = max(0, now - self.heard)
-        return known.rate * age if age < _LONGEST_UNSEEN else 0
+        return known.rate * age if age < _MAX_REPORT_AGE_SECONDS else 0
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -180,7 +180,7 @@
     def test_bounded_in_teams(self):
         for number in range(2000):
             self.deal(TeamName(f't{number}'))
-        self.assertEqual(1000, len(self.times._dealt))
+        self.assertEqual(1000, len(self.times._next_free))
 
 
 class CountTest(unittest.TestCase):
