--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -73,7 +73,7 @@
         self.engines_watch = self.watcher(dialect.engines_prefix, self.engines)
 
         self.suspects_watch = self.watcher(
-            dialect.suspects_prefix, self.suspects.keeper
+            dialect.suspects_prefix, self.suspects.store
         )
 
     def follow(self, engine: Engine) -> StreamPace:
@@ -125,7 +125,7 @@
         gevent.spawn(self.config_watch.run)
         gevent.spawn(self.engines_watch.run)
         gevent.spawn(self.suspects_watch.run)
-        gevent.spawn(self.suspects.keeper.run)
+        gevent.spawn(self.suspects.store.run)
 
     def _watches(self) -> tuple[Watcher, ...]:
         return self.config_watch, self.engines_watch, self.suspects_watch
@@ -135,4 +135,4 @@
         self.health.forget(engine.engine)
         self.shared_health.forget(engine)
         self.pace.forget(engine)
-        self.suspects.ends.gone(engine)
+        self.suspects.crash_detector.record_removed(engine)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -214,7 +214,7 @@
         """Return whether an update should be sent to the peer at once."""
         if peer.sent_state != urgent_state(self._report()):
             return True
-        if self.suspects and self.suspects.news(peer.suspects_sent)[1]:
+        if self.suspects and self.suspects.updates_after(peer.suspects_sent)[1]:
             return True
         if peer.link is not Link.CLOSE:
             return False
@@ -232,8 +232,8 @@
             peer.sent_state = urgent_state(report)
             report.told = self._relay.reports_for(peer)
             if self.suspects:
-                peer.suspects_sent, report.suspects = self.suspects.news(
-                    peer.suspects_sent
+                peer.suspects_sent, report.suspects = (
+                    self.suspects.updates_after(peer.suspects_sent)
                 )
             report.missed = self._survey.missed_by(peer.record.node)
             shared = self.shared_health
@@ -263,7 +263,7 @@
         peer.missing_nodes = report.missed
         self._relay.receive(peer, report.told)
         if self.suspects:
-            self.suspects.hear(report.suspects)
+            self.suspects.receive(report.suspects)
         self._on_report(report)
         teams = team_counts(report)
         self._loads.report(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -14,7 +14,7 @@
 from bendlead_gateway._scheduling.deferral import ItemTiming, item_timing
 from bendlead_gateway._scheduling.fair_order import FairOrder, ItemCost
 from bendlead_gateway._scheduling.urgency import ItemDurations, Urgency
-from bendlead_gateway._suspects.evidence import ITEM_SECONDS
+from bendlead_gateway._suspects.crash_history import ITEM_QUARANTINE_SECONDS
 from bendlead_gateway.types import Route
 
 #: Tolerance for clock skew: another process may have accepted the job.
@@ -150,8 +150,8 @@
             self._give_up(board, job, progress)
 
     def _quarantined(self, job: OwnedJob, progress: Progress) -> bool:
-        remaining_seconds = self._fleet.suspects.quarantine_left(
-            lambda: job.digest(progress), ITEM_SECONDS
+        remaining_seconds = self._fleet.suspects.remaining_quarantine(
+            lambda: job.digest(progress), ITEM_QUARANTINE_SECONDS
         )
         return remaining_seconds > 0
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -31,7 +31,7 @@
 from bendlead_gateway._scheduling.item_slots import ItemSlots
 from bendlead_gateway._scheduling.precedence import Precedence
 from bendlead_gateway._scheduling.urgency import ItemDurations
-from bendlead_gateway._suspects.ends import Break
+from bendlead_gateway._suspects.crash_detector import BrokenResponse
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
     Engine,
@@ -232,8 +232,10 @@
         )
         if not run.stopped:
             if isinstance(error, OSError):
-                broken = Break(run.digest, run.sent_at, run.response_started)
-                self._fleet.suspects.broke_off(run.engine, broken)
+                broken = BrokenResponse(
+                    run.digest, run.sent_at, run.response_started
+                )
+                self._fleet.suspects.record_broken(run.engine, broken)
             self._fleet.health.failed(run.engine.engine)
             self._report_failure(run, error)
             run.progress.not_before = clock.uptime() + _RETRY_PAUSE_SECONDS
@@ -262,7 +264,7 @@
         )
         text = ''
         if outcome is ItemOutcome.COMPLETED:
-            self._fleet.suspects.answered(lambda: job.digest(progress))
+            self._fleet.suspects.record_success(lambda: job.digest(progress))
             text = '\n'.join(progress.texts)
         item_result = ItemResult(progress.item.item, outcome, text)
         self._metrics.items[outcome.value] += 1
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -33,7 +33,7 @@
 from bendlead_gateway._online.relay import AnswerRelay, end_to_end_headers
 from bendlead_gateway._scheduling.retry import RetryBudget, has_free_slot
 from bendlead_gateway._scheduling.view import EngineView
-from bendlead_gateway._suspects.ends import Break
+from bendlead_gateway._suspects.crash_detector import BrokenResponse
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import Engine
 
@@ -82,7 +82,9 @@
             connection = self._connect(engine)
             idle_seconds = self._run(exchange, view, connection)
         except _ABANDONED:
-            self._fleet.suspects.left(engine, exchange.digest, exchange.sent_at)
+            self._fleet.suspects.record_abandoned(
+                engine, exchange.digest, exchange.sent_at
+            )
             raise
         finally:
             loads.own.online[name] -= 1
@@ -94,7 +96,7 @@
             return self._fleet.pool.take(engine)
         except OSError as error:
             if isinstance(error, ConnectionRefusedError):
-                self._fleet.suspects.ends.refused(engine)
+                self._fleet.suspects.crash_detector.record_refused(engine)
             paused = self._health.failed(engine.engine, unreachable=True)
             self._log_failure(engine, Step.CONNECT, error, paused)
             self._shared.record_failure(engine, classify_error(error), None)
@@ -136,7 +138,7 @@
             )
         self._relay(exchange, engine, connection, head)
         if head.status < HTTPStatus.MULTIPLE_CHOICES:
-            self._fleet.suspects.answered(lambda: exchange.digest)
+            self._fleet.suspects.record_success(lambda: exchange.digest)
         return answer.idle_seconds
 
     def _send_and_read_head(
@@ -258,8 +260,8 @@
     def _report_broken(
         self, exchange: Exchange, engine: Engine, *, answered: bool
     ) -> None:
-        answer = Break(exchange.digest, exchange.sent_at, answered)
-        self._fleet.suspects.broke_off(engine, answer)
+        answer = BrokenResponse(exchange.digest, exchange.sent_at, answered)
+        self._fleet.suspects.record_broken(engine, answer)
 
     def _log_failure(
         self, engine: Engine, step: Step, error: object, paused: bool
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -28,7 +28,7 @@
 from bendlead_gateway._online.request_queue import FairShares, RequestQueue
 from bendlead_gateway._scheduling import retry
 from bendlead_gateway._scheduling.view import EngineView
-from bendlead_gateway._suspects.evidence import REQUEST_SECONDS
+from bendlead_gateway._suspects.crash_history import REQUEST_QUARANTINE_SECONDS
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
     RequestFacts,
@@ -150,8 +150,8 @@
         return placement.view
 
     def _quarantine_left(self, exchange: Exchange) -> float:
-        return self._fleet.suspects.quarantine_left(
-            lambda: exchange.digest, REQUEST_SECONDS
+        return self._fleet.suspects.remaining_quarantine(
+            lambda: exchange.digest, REQUEST_QUARANTINE_SECONDS
         )
 
     def _refuse_quarantined(
@@ -199,7 +199,7 @@
         exchange.runs += 1
         exchange.failure = str(error)
         if exchange.may_run_again:
-            self._fleet.suspects.await_news(exchange.digest)
+            self._fleet.suspects.await_probe(exchange.digest)
             return None
         return finish(exchange, exchange.failure)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/ends.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_detector.py
@@ -39,23 +39,23 @@
 _Incarnation = tuple[str, int]
 
 #: Called with a crashed engine and a request that it was running.
-OnEnd = Callable[[Engine, RequestDigest], None]
+OnCrash = Callable[[Engine, RequestDigest], None]
 
 
-def ignore_end(engine: Engine, digest: RequestDigest) -> None:
+def ignore_crash(engine: Engine, digest: RequestDigest) -> None:
     """Ignore a crash."""
 
 
-class Break(Struct, frozen=True):
+class BrokenResponse(Struct, frozen=True):
     """A response that broke off.
 
-    ``began`` is when its request was sent (s on the steady clock), ``answered``
-    whether some bytes of the response had arrived.
+    ``sent_at`` is when its request was sent (s on the steady clock),
+    ``response_started`` whether some bytes of the response had arrived.
     """
 
     digest: RequestDigest
-    began: float
-    answered: bool
+    sent_at: float
+    response_started: bool
 
 
 class _PossibleCrash(Struct):
@@ -71,7 +71,7 @@
     probed: Event = field(default_factory=Event)
 
 
-class EngineEnds:
+class CrashDetector:
     """Watch engines whose responses broke off, and report their crashes."""
 
     def __init__(
@@ -87,13 +87,13 @@
         self._metrics = metrics
         self._possible: dict[_Incarnation, _PossibleCrash] = {}
         self._abandoned: dict[_Incarnation, dict[RequestDigest, float]] = {}
-        self.on_end: OnEnd = ignore_end
+        self.on_crash: OnCrash = ignore_crash
 
-    def broke_off(self, engine: Engine, broken: Break) -> None:
+    def record_broken(self, engine: Engine, broken: BrokenResponse) -> None:
         """Record that an engine's response to a request broke off."""
         self._expire()
         crash = self._possible.get(_incarnation(engine))
-        if crash is not None and broken.began > crash.noticed_at:
+        if crash is not None and broken.sent_at > crash.noticed_at:
             if not self._is_running(crash, broken):
                 # The engine was gone before this request was sent: a proxy in
                 # front of it accepted the connection.
@@ -104,7 +104,7 @@
         if crash is not None:
             self._add(crash, broken)
 
-    def left(self, engine: Engine, digest: RequestDigest) -> None:
+    def record_abandoned(self, engine: Engine, digest: RequestDigest) -> None:
         """Record that the client of a running request disconnected.
 
         The engine may go on with the request, and crash a moment later.
@@ -114,13 +114,13 @@
             clock.uptime()
         )
 
-    def refused(self, engine: Engine) -> None:
+    def record_refused(self, engine: Engine) -> None:
         """Record that an engine's address refused a connection."""
         crash = self._find_possible(engine)
         if crash is not None and self._takes_requests(engine):
             self._confirm_refused(crash)
 
-    def gone(self, engine: Engine) -> None:
+    def record_removed(self, engine: Engine) -> None:
         """Record that an engine left the list, or was started again."""
         crash = self._find_possible(engine)
         if crash is not None and engine.state is EngineState.READY:
@@ -132,13 +132,15 @@
             if digest in crash.digests:
                 crash.probed.wait(_AWAIT_PROBE_SECONDS)
 
-    def _is_running(self, crash: _PossibleCrash, broken: Break) -> bool:
+    def _is_running(
+        self, crash: _PossibleCrash, broken: BrokenResponse
+    ) -> bool:
         """Return whether an engine has responded since a broken response."""
         if crash.confirmed:
             return False
         responded = self._last_response_at(crash.engine.engine)
         return (
-            broken.answered
+            broken.response_started
             or responded > crash.noticed_at + _READ_DELAY_SECONDS
         )
 
@@ -151,16 +153,16 @@
         gevent.spawn(self._probe, crash)
         return crash
 
-    def _add(self, crash: _PossibleCrash, broken: Break) -> None:
+    def _add(self, crash: _PossibleCrash, broken: BrokenResponse) -> None:
         if broken.digest in crash.digests:
             return
-        elapsed = clock.uptime() - broken.began
-        if not broken.answered and elapsed < _EARLY_CLOSE_SECONDS:
+        elapsed = clock.uptime() - broken.sent_at
+        if not broken.response_started and elapsed < _EARLY_CLOSE_SECONDS:
             crash.closed_early.add(broken.digest)
             return
         crash.digests.add(broken.digest)
         if crash.confirmed:
-            self.on_end(crash.engine, broken.digest)
+            self.on_crash(crash.engine, broken.digest)
 
     def _probe(self, crash: _PossibleCrash) -> None:
         for pause in _PROBE_PAUSES_SECONDS:
@@ -208,7 +210,7 @@
             digests=','.join(sorted(crash.digests)),
         )
         for digest in crash.digests:
-            self.on_end(crash.engine, digest)
+            self.on_crash(crash.engine, digest)
 
     def _expire(self) -> None:
         """Forget broken responses and abandoned requests that are too old."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_history.py
@@ -13,17 +13,17 @@
 
 from bendlead_gateway._suspects.digest import RequestDigest
 
-ENDS_UNTIL_QUARANTINE = 3
+CRASHES_UNTIL_QUARANTINE = 3
 #: Crashes from which on a quarantine has its full length.
 _CRASHES_UNTIL_MAX_QUARANTINE = 6
 #: Longest quarantine, and the time after which unchanged suspects expire: a day
 #: for the operators to investigate.
-LONGEST_SECONDS = 86_400.0
+MAX_QUARANTINE_SECONDS = 86_400.0
 #: First quarantine of an online request; it doubles with each further crash.
-REQUEST_SECONDS = 3600.0
+REQUEST_QUARANTINE_SECONDS = 3600.0
 #: First quarantine of a batch item. It is shorter: an item is lost where its
 #: retention, a minute or more, ends before it may run again.
-ITEM_SECONDS = 15.0
+ITEM_QUARANTINE_SECONDS = 15.0
 #: Bound of memory, by eviction of the oldest suspects.
 _MAX_SUSPECTS = 4096
 #: Limit for one suspect, of which the newest are kept.
@@ -39,7 +39,7 @@
     changed_at: float
 
 
-class Evidence:
+class CrashHistory:
     """Requests that were running when engines crashed.
 
     Records of one request from several processes are merged; order and
@@ -82,11 +82,11 @@
         suspect = self._suspects.get(digest)
         return suspect.record if suspect else SuspectRecord(digest=digest)
 
-    def ends(self, digest: RequestDigest) -> int:
+    def crash_count(self, digest: RequestDigest) -> int:
         """Count the engine crashes of a request."""
         return len(self.record(digest).ends)
 
-    def quarantine_left(
+    def remaining_quarantine(
         self, digest: RequestDigest, first: float, now: float
     ) -> float:
         """Return the seconds left of a request's quarantine.
@@ -99,19 +99,21 @@
         latest = max(ends.values()) / _MS_PER_SECOND
         return max(0, latest + _quarantine_seconds(len(ends), first) - now)
 
-    def hold(self, digest: RequestDigest, incarnation: str, now: float) -> bool:
+    def add_crash(
+        self, digest: RequestDigest, incarnation: str, now: float
+    ) -> bool:
         """Add an engine crash to a request; return whether it was unknown."""
         ends = {incarnation: round(now * _MS_PER_SECOND)}
-        return self.take(SuspectRecord(digest=digest, ends=ends), now)
+        return self.merge(SuspectRecord(digest=digest, ends=ends), now)
 
     def clear(self, digest: RequestDigest, now: float) -> bool:
         """Drop the crashes of a request; return whether there were any."""
-        if not self.ends(digest):
+        if not self.crash_count(digest):
             return False
         cleared = round(now * _MS_PER_SECOND)
-        return self.take(SuspectRecord(digest=digest, cleared_ms=cleared), now)
+        return self.merge(SuspectRecord(digest=digest, cleared_ms=cleared), now)
 
-    def take(self, received: SuspectRecord, now: float) -> bool:
+    def merge(self, received: SuspectRecord, now: float) -> bool:
         """Merge a record; return whether that changed anything."""
         digest = RequestDigest(received.digest)
         known = self.record(digest)
@@ -121,7 +123,7 @@
         self._put(digest, merged, now)
         return True
 
-    def news(
+    def changes_after(
         self, after: int, newer_than: float
     ) -> Iterator[tuple[int, SuspectRecord]]:
         """Yield changes after a revision and a time, the newest first."""
@@ -130,10 +132,10 @@
                 return
             yield suspect.revision, suspect.record
 
-    def forget_old(self, now: float) -> None:
+    def remove_expired(self, now: float) -> None:
         """Remove the suspects that have not changed for too long."""
         for digest, suspect in list(self._suspects.items()):
-            if now - _latest_change(suspect.record) > LONGEST_SECONDS:
+            if now - _latest_change(suspect.record) > MAX_QUARANTINE_SECONDS:
                 self._forget(digest)
 
     def _put(
@@ -142,7 +144,7 @@
         self._suspects.pop(digest, None)
         self._revision += 1
         self._suspects[digest] = _Suspect(record, self._revision, now)
-        if len(record.ends) >= ENDS_UNTIL_QUARANTINE:
+        if len(record.ends) >= CRASHES_UNTIL_QUARANTINE:
             self._quarantined.add(digest)
         else:
             self._quarantined.discard(digest)
@@ -165,9 +167,9 @@
 
 def _quarantine_seconds(ends: int, first: float) -> float:
     if ends >= _CRASHES_UNTIL_MAX_QUARANTINE:
-        return LONGEST_SECONDS
-    doubled = first * 2 ** (ends - ENDS_UNTIL_QUARANTINE)
-    return min(LONGEST_SECONDS, doubled)
+        return MAX_QUARANTINE_SECONDS
+    doubled = first * 2 ** (ends - CRASHES_UNTIL_QUARANTINE)
+    return min(MAX_QUARANTINE_SECONDS, doubled)
 
 
 def _merge(known: SuspectRecord, received: SuspectRecord) -> SuspectRecord:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/keeper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspect_store.py
@@ -17,25 +17,25 @@
 from result import Err, Ok
 
 from bendlead_gateway._log import Log
+from bendlead_gateway._suspects.crash_history import CrashHistory
 from bendlead_gateway._suspects.digest import RequestDigest
-from bendlead_gateway._suspects.evidence import Evidence
 
 #: Crashes from which on a suspect is stored. Most requests with a single crash
 #: only ran beside the one that caused it, and writes cost money.
-ENDS_UNTIL_KEPT = 2
+CRASHES_UNTIL_STORED = 2
 _RETRY_SECONDS = 0.5
 #: Interval of the removal of expired records.
 _SWEEP_SECONDS = 600.0
 _DECODER = msgspec.json.Decoder(SuspectRecord)
 
 
-class SuspectKeeper:
+class SuspectStore:
     """Follow the stored records, and write those that change here."""
 
     def __init__(
-        self, evidence: Evidence, store: FollowedStore, prefix: str, log: Log
+        self, history: CrashHistory, store: FollowedStore, prefix: str, log: Log
     ) -> None:
-        self._evidence = evidence
+        self._history = history
         self._store = store
         self._prefix = prefix
         self._log = log
@@ -61,10 +61,10 @@
             return
         self._load(Entry(change.key, change.version, change.body))
 
-    def keep(self, digest: RequestDigest) -> None:
+    def save(self, digest: RequestDigest) -> None:
         """Queue a changed record for writing if it has enough crashes."""
         stored = digest in self._versions
-        if stored or self._evidence.ends(digest) >= ENDS_UNTIL_KEPT:
+        if stored or self._history.crash_count(digest) >= CRASHES_UNTIL_STORED:
             self._unwritten.add(digest)
             self._write_requested.set()
 
@@ -84,12 +84,12 @@
     def _write(self, digest: RequestDigest) -> bool:
         """Write a record; return whether its latest state is stored."""
         key = f'{self._prefix}{digest}'
-        record = self._evidence.record(digest)
+        record = self._history.record(digest)
         version = self._versions.get(digest, ABSENT)
         written = self._store.put(key, msgspec.json.encode(record), version)
         if isinstance(written, Ok):
             self._versions[digest] = written.ok_value
-            return record == self._evidence.record(digest)
+            return record == self._history.record(digest)
         self._log.event(
             'suspect-not-kept', digest=digest, reason=written.err_value
         )
@@ -102,10 +102,10 @@
             return False
         self._load(found.ok_value)
         stored = _decode(found.ok_value)
-        return stored == self._evidence.record(digest)
+        return stored == self._history.record(digest)
 
     def _release(self, digest: RequestDigest) -> None:
-        if self._evidence.clear(digest, time.time()):
+        if self._history.clear(digest, time.time()):
             self._log.event('suspect-released', digest=digest)
 
     def _load(self, entry: Entry) -> None:
@@ -114,13 +114,13 @@
             self._log.event('suspect-unreadable', key=entry.key)
             return
         self._versions[RequestDigest(record.digest)] = entry.version
-        self._evidence.take(record, time.time())
+        self._history.merge(record, time.time())
 
     def _remove_expired(self) -> None:
         """Remove expired suspects, here and in the object service."""
-        self._evidence.forget_old(time.time())
+        self._history.remove_expired(time.time())
         for digest, version in list(self._versions.items()):
-            if not self._evidence.known(digest):
+            if not self._history.known(digest):
                 self._versions.pop(digest)
                 self._store.delete(f'{self._prefix}{digest}', version)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspects.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspects.py
@@ -8,13 +8,16 @@
 
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
-from bendlead_gateway._suspects.digest import RequestDigest
-from bendlead_gateway._suspects.ends import Break, EngineEnds
-from bendlead_gateway._suspects.evidence import (
-    ENDS_UNTIL_QUARANTINE,
-    Evidence,
+from bendlead_gateway._suspects.crash_detector import (
+    BrokenResponse,
+    CrashDetector,
+)
+from bendlead_gateway._suspects.crash_history import (
+    CRASHES_UNTIL_QUARANTINE,
+    CrashHistory,
 )
-from bendlead_gateway._suspects.keeper import SuspectKeeper
+from bendlead_gateway._suspects.digest import RequestDigest
+from bendlead_gateway._suspects.suspect_store import SuspectStore
 from bendlead_gateway.types import Engine, EngineId
 
 #: Age up to which changes are sent to peers. A process that starts reads older
@@ -30,7 +33,7 @@
     def __init__(
         self,
         takes_requests: Callable[[Engine], bool],
-        heard_at: Callable[[EngineId], float],
+        last_response_at: Callable[[EngineId], float],
         store: FollowedStore,
         prefix: str,
         log: Log,
@@ -38,12 +41,14 @@
     ) -> None:
         self._log = log
         self._metrics = metrics
-        self._evidence = Evidence()
-        self.ends = EngineEnds(takes_requests, heard_at, log, metrics)
-        self.ends.on_end = self._add_crash
-        self.keeper = SuspectKeeper(self._evidence, store, prefix, log)
+        self._history = CrashHistory()
+        self.crash_detector = CrashDetector(
+            takes_requests, last_response_at, log, metrics
+        )
+        self.crash_detector.on_crash = self._add_crash
+        self.store = SuspectStore(self._history, store, prefix, log)
 
-    def quarantine_left(
+    def remaining_quarantine(
         self, digest_of: Callable[[], RequestDigest], first: float
     ) -> float:
         """Return the seconds until a request may be sent to an engine.
@@ -51,15 +56,17 @@
         ``first`` is the length of its first quarantine (s). The digest is only
         computed while some request is quarantined.
         """
-        if not self._evidence.any_quarantined:
+        if not self._history.any_quarantined:
             return 0
-        return self._evidence.quarantine_left(digest_of(), first, time.time())
+        return self._history.remaining_quarantine(
+            digest_of(), first, time.time()
+        )
 
-    def broke_off(self, engine: Engine, broken: Break) -> None:
+    def record_broken(self, engine: Engine, broken: BrokenResponse) -> None:
         """Record that an engine's response to a request broke off."""
-        self.ends.broke_off(engine, broken)
+        self.crash_detector.record_broken(engine, broken)
 
-    def left(
+    def record_abandoned(
         self, engine: Engine, digest: RequestDigest, sent_at: float
     ) -> None:
         """Record that the client of a running request disconnected.
@@ -67,40 +74,42 @@
         The engine is only probed where the request is a suspect: clients
         disconnect often, and each probe opens a connection.
         """
-        if self._evidence.ends(digest):
-            self.ends.broke_off(engine, Break(digest, sent_at, answered=False))
+        if self._history.crash_count(digest):
+            self.crash_detector.record_broken(
+                engine, BrokenResponse(digest, sent_at, response_started=False)
+            )
         else:
-            self.ends.left(engine, digest)
+            self.crash_detector.record_abandoned(engine, digest)
 
-    def await_news(self, digest: RequestDigest) -> None:
+    def await_probe(self, digest: RequestDigest) -> None:
         """Wait for an engine's probe if one more crash means quarantine.
 
         Otherwise a retry could reach another engine before the crash is known.
         Requests with fewer crashes don't wait.
         """
-        if self._evidence.ends(digest) == ENDS_UNTIL_QUARANTINE - 1:
-            self.ends.await_probe(digest)
+        if self._history.crash_count(digest) == CRASHES_UNTIL_QUARANTINE - 1:
+            self.crash_detector.await_probe(digest)
 
-    def answered(self, digest_of: Callable[[], RequestDigest]) -> None:
+    def record_success(self, digest_of: Callable[[], RequestDigest]) -> None:
         """Clear a request to which an engine sent a complete response."""
-        if not self._evidence.any_suspects:
+        if not self._history.any_suspects:
             return
         digest = digest_of()
-        if self._evidence.clear(digest, time.time()):
+        if self._history.clear(digest, time.time()):
             self._log.event('suspect-cleared', digest=digest)
-            self.keeper.keep(digest)
+            self.store.save(digest)
 
-    def hear(self, records: Iterable[SuspectRecord]) -> None:
+    def receive(self, records: Iterable[SuspectRecord]) -> None:
         """Merge the records of a peer."""
         now = time.time()
         for record in records:
-            if self._evidence.take(record, now):
+            if self._history.merge(record, now):
                 self._log_suspect(RequestDigest(record.digest), 'a peer')
 
-    def news(self, after: int) -> tuple[int, list[SuspectRecord]]:
+    def updates_after(self, after: int) -> tuple[int, list[SuspectRecord]]:
         """Return changes after a revision, and the revision they reach."""
         changes = list(
-            self._evidence.news(after, time.time() - _GOSSIP_SECONDS)
+            self._history.changes_after(after, time.time() - _GOSSIP_SECONDS)
         )
         reported = list(reversed(changes[-_MAX_REPORTED:]))
         if not reported:
@@ -109,19 +118,19 @@
 
     def summary(self) -> dict[str, int]:
         """Count the crashes of each suspect, for the state dump."""
-        return self._evidence.summary()
+        return self._history.summary()
 
     def _add_crash(self, engine: Engine, digest: RequestDigest) -> None:
         incarnation = f'{engine.engine}@{engine.born}'
-        if self._evidence.hold(digest, incarnation, time.time()):
+        if self._history.add_crash(digest, incarnation, time.time()):
             self._log_suspect(digest, engine.engine)
-            self.keeper.keep(digest)
+            self.store.save(digest)
 
     def _log_suspect(self, digest: RequestDigest, source: str) -> None:
         self._log.event(
             'request-suspected',
             digest=digest,
             source=source,
-            ends=self._evidence.ends(digest),
-            quarantined=self._evidence.is_quarantined(digest),
+            ends=self._history.crash_count(digest),
+            quarantined=self._history.is_quarantined(digest),
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/suspects.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/suspects.py
@@ -1,17 +1,17 @@
 """Requests under which engines end, for whatever face takes them."""
 
 from bendlead_gateway._fleet.probe import refuses_connections
-from bendlead_gateway._suspects.digest import RequestDigest, digest_request
-from bendlead_gateway._suspects.evidence import (
-    ENDS_UNTIL_QUARANTINE,
-    REQUEST_SECONDS,
-    Evidence,
+from bendlead_gateway._suspects.crash_history import (
+    CRASHES_UNTIL_QUARANTINE,
+    REQUEST_QUARANTINE_SECONDS,
+    CrashHistory,
 )
+from bendlead_gateway._suspects.digest import RequestDigest, digest_request
 
 __all__ = (
-    'ENDS_UNTIL_QUARANTINE',
-    'REQUEST_SECONDS',
-    'Evidence',
+    'CRASHES_UNTIL_QUARANTINE',
+    'REQUEST_QUARANTINE_SECONDS',
+    'CrashHistory',
     'RequestDigest',
     'digest_request',
     'refuses_connections',
--- a/packages/bendlead-node/src/bendlead_node/_entry/suspects.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/suspects.py
@@ -6,9 +6,9 @@
 import gevent
 import msgspec
 from bendlead_gateway.suspects import (
-    ENDS_UNTIL_QUARANTINE,
-    REQUEST_SECONDS,
-    Evidence,
+    CRASHES_UNTIL_QUARANTINE,
+    REQUEST_QUARANTINE_SECONDS,
+    CrashHistory,
     RequestDigest,
     digest_request,
 )
@@ -58,7 +58,7 @@
         self._config = config
         self._relay = relay
         self._journal = journal
-        self._evidence = Evidence()
+        self._history = CrashHistory()
         self._merged: dict[str, SuspectRecord] = {}
 
     def digest(self, request: OnlineRequest) -> RequestDigest:
@@ -74,8 +74,8 @@
     def check(self, request: OnlineRequest) -> None:
         """Refuse a request that must reach no engine."""
         self._merge()
-        left = self._evidence.quarantine_left(
-            self.digest(request), REQUEST_SECONDS, time.time()
+        left = self._history.remaining_quarantine(
+            self.digest(request), REQUEST_QUARANTINE_SECONDS, time.time()
         )
         if not left:
             return
@@ -105,7 +105,7 @@
         """
         until = clock.uptime() + _NEWS_SECONDS
         digest = self.digest(request)
-        while self._evidence.ends(digest) == ENDS_UNTIL_QUARANTINE - 1:
+        while self._history.crash_count(digest) == CRASHES_UNTIL_QUARANTINE - 1:
             if clock.uptime() > until:
                 return
             gevent.sleep(_LOOK_SECONDS)
@@ -114,21 +114,21 @@
         """Take the ends of engines that an endpoint process tells of."""
         for end in heartbeat.ends:
             digest = RequestDigest(end.digest)
-            if self._evidence.hold(digest, end.life, end.at_ms / _MS):
+            if self._history.add_crash(digest, end.life, end.at_ms / _MS):
                 self._note(digest, heartbeat.endpoint)
 
     def answered(self, request: OnlineRequest) -> None:
         """Clear a request that an engine has answered whole."""
-        if not self._evidence.any_suspects:
+        if not self._history.any_suspects:
             return
         digest = self.digest(request)
-        if self._evidence.clear(digest, time.time()):
+        if self._history.clear(digest, time.time()):
             self._journal.event('suspect-cleared', digest=digest)
             if digest in self._config.suspects():
                 gevent.spawn(self._keep, digest)
 
     def _note(self, digest: RequestDigest, endpoint: str) -> None:
-        ends = self._evidence.ends(digest)
+        ends = self._history.crash_count(digest)
         self._journal.decide(
             'request-suspected', digest=digest, endpoint=endpoint, ends=ends
         )
@@ -141,11 +141,11 @@
         held = self._config.suspects()
         for digest in self._merged.keys() - held.keys():
             self._merged.pop(digest)
-            self._evidence.clear(RequestDigest(digest), now)
+            self._history.clear(RequestDigest(digest), now)
         for digest, record in held.items():
             if self._merged.get(digest) is not record:
                 self._merged[digest] = record
-                self._evidence.take(record, now)
+                self._history.merge(record, now)
 
     def _keep(self, digest: RequestDigest) -> None:
         """Write a record until the object service holds what is known here."""
@@ -166,10 +166,10 @@
         entry = found.ok_value
         if entry is not None:
             stored = parse_object(KIND, entry.body)
-            self._evidence.take(stored, time.time())
-            if stored == self._evidence.record(digest):
+            self._history.merge(stored, time.time())
+            if stored == self._history.record(digest):
                 return Ok(None)
-        body = msgspec.json.encode(self._evidence.record(digest))
+        body = msgspec.json.encode(self._history.record(digest))
         version = entry.version if entry else ABSENT
         written = self._store.put(key, body, version)
         if isinstance(written, Ok):
--- a/testing/src/bendlead_testing/crash_replay.py
+++ b/testing/src/bendlead_testing/crash_replay.py
@@ -10,8 +10,11 @@
 from collections.abc import Callable
 from random import Random
 
+from bendlead_gateway._suspects.crash_history import (
+    REQUEST_QUARANTINE_SECONDS,
+    CrashHistory,
+)
 from bendlead_gateway._suspects.digest import RequestDigest
-from bendlead_gateway._suspects.evidence import REQUEST_SECONDS, Evidence
 from msgspec import Struct, field
 
 #: Tries of a good request that is cut off, and the pause before each (s).
@@ -64,7 +67,7 @@
         self._load = load
         self._bound = bound
         self._chance = Random(seed)
-        self._evidence = Evidence()
+        self._history = CrashHistory()
         self._engines = [_Engine() for _one in range(load.engines)]
         self._moments: list[tuple[float, int, Callable[[], None]]] = []
         self._count = 0
@@ -129,7 +132,7 @@
             if run in engine.runs:
                 engine.runs.remove(run)
                 self.outcome.served += 1
-                self._evidence.clear(run.digest, self._now)
+                self._history.clear(run.digest, self._now)
 
         return finish
 
@@ -151,7 +154,7 @@
 
     def _cut(self, run: _Run, life: str) -> None:
         def hold() -> None:
-            self._evidence.hold(run.digest, life, self._now)
+            self._history.add_crash(run.digest, life, self._now)
 
         self._at(self._now + self._load.news, hold)
         if run.digest.startswith('good'):
@@ -170,8 +173,8 @@
         if self._bound is None:
             return False
         if self._bound != 3:
-            return self._evidence.ends(digest) >= self._bound
-        left = self._evidence.quarantine_left(
-            digest, REQUEST_SECONDS, self._now
+            return self._history.crash_count(digest) >= self._bound
+        left = self._history.remaining_quarantine(
+            digest, REQUEST_QUARANTINE_SECONDS, self._now
         )
         return left > 0
--- a/tests/test_gateway_engine_ends.py
+++ b/tests/test_gateway_engine_ends.py
@@ -11,8 +11,11 @@
 import gevent
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
-from bendlead_gateway._suspects import ends as ends_module
-from bendlead_gateway._suspects.ends import Break, EngineEnds
+from bendlead_gateway._suspects import crash_detector as detector_module
+from bendlead_gateway._suspects.crash_detector import (
+    BrokenResponse,
+    CrashDetector,
+)
 from bendlead_gateway.types import DataHall, Engine, EngineState
 from parameterized import parameterized
 
@@ -27,24 +30,26 @@
 
     def setUp(self):
         self.now = _FIRST_BREAK
-        clock = mock.patch.object(ends_module.clock, 'uptime', self._uptime)
+        clock = mock.patch.object(detector_module.clock, 'uptime', self._uptime)
         clock.start()
         self.addCleanup(clock.stop)
         # Its address takes connections, whatever has become of it.
         probe = mock.patch.object(
-            ends_module, 'refuses_connections', lambda *_asked: False
+            detector_module, 'refuses_connections', lambda *_asked: False
         )
         probe.start()
         self.addCleanup(probe.stop)
         self.heard = 0.0
         self.held = []
-        self.ends = EngineEnds(
+        self.detector = CrashDetector(
             lambda _engine: True,
             lambda _engine: self.heard,
             Log('n'),
             Metrics(),
         )
-        self.ends.on_end = lambda _engine, digest: self.held.append(digest)
+        self.detector.on_crash = lambda _engine, digest: self.held.append(
+            digest
+        )
 
     def _uptime(self):
         return self.now
@@ -52,12 +57,14 @@
     def breaks(self, digest, began, at, answered=False):
         """Let an answer break off whose request was sent some time before."""
         self.now = at
-        self.ends.broke_off(_ENGINE, Break(digest, began, answered))
+        self.detector.record_broken(
+            _ENGINE, BrokenResponse(digest, began, answered)
+        )
 
     def leaves(self, at):
         """Let the engine leave the list."""
         self.now = at
-        self.ends.gone(_ENGINE)
+        self.detector.record_removed(_ENGINE)
 
     @parameterized.expand(
         [
@@ -94,7 +101,7 @@
     def test_turned_away_by_an_address_that_then_refuses(self):
         """Nothing stands for it, so the request had met the engine."""
         self.breaks('a', _FIRST_BREAK - 0.003, _FIRST_BREAK)
-        self.ends.refused(_ENGINE)
+        self.detector.record_refused(_ENGINE)
         self.assertEqual(['a'], self.held)
 
     def test_break_after_the_known_end(self):
--- a/tests/test_gateway_suspects.py
+++ b/tests/test_gateway_suspects.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from bendlead_gateway._suspects.digest import digest_request
-from bendlead_gateway._suspects.evidence import (
-    ENDS_UNTIL_QUARANTINE,
-    ITEM_SECONDS,
-    LONGEST_SECONDS,
-    REQUEST_SECONDS,
-    Evidence,
+from bendlead_gateway._suspects.crash_history import (
+    CRASHES_UNTIL_QUARANTINE,
+    ITEM_QUARANTINE_SECONDS,
+    MAX_QUARANTINE_SECONDS,
+    REQUEST_QUARANTINE_SECONDS,
+    CrashHistory,
 )
+from bendlead_gateway._suspects.digest import digest_request
 from bendlead_schema.gateway import SuspectRecord
 from bendlead_testing.crash_replay import CrashLoad, CrashOutcome, CrashReplay
 from parameterized import parameterized
@@ -45,16 +45,16 @@
     """Ends, whole answers, and what processes tell one another."""
 
     def setUp(self):
-        self.evidence = Evidence()
+        self.history = CrashHistory()
 
     def end(self, count, begin=0):
         """Let engines end under the request, one a second."""
         for number in range(begin, begin + count):
-            self.evidence.hold('d', f'i-{number}@0', _NOW + number)
+            self.history.add_crash('d', f'i-{number}@0', _NOW + number)
 
-    def left(self, after, first=REQUEST_SECONDS):
+    def left(self, after, first=REQUEST_QUARANTINE_SECONDS):
         """Give what is left of its quarantine some seconds after the first."""
-        return self.evidence.quarantine_left('d', first, _NOW + after)
+        return self.history.remaining_quarantine('d', first, _NOW + after)
 
     @parameterized.expand(
         [
@@ -64,8 +64,8 @@
             ('three', 3, 3600),
             ('four', 4, 7200),
             ('five', 5, 14_400),
-            ('six', 6, LONGEST_SECONDS),
-            ('many', 40, LONGEST_SECONDS),
+            ('six', 6, MAX_QUARANTINE_SECONDS),
+            ('many', 40, MAX_QUARANTINE_SECONDS),
         ]
     )
     def test_ends(self, _name, count, lasts):
@@ -74,36 +74,36 @@
 
     def test_item_has_three_more_runs(self):
         runs = 0
-        self.end(ENDS_UNTIL_QUARANTINE)
+        self.end(CRASHES_UNTIL_QUARANTINE)
         moment = 0
         while moment < 3600:
             moment += 0.5
-            if not self.left(moment, ITEM_SECONDS):
+            if not self.left(moment, ITEM_QUARANTINE_SECONDS):
                 runs += 1
                 life = f'i-{moment}@0'
-                self.evidence.hold('d', life, _NOW + moment)
+                self.history.add_crash('d', life, _NOW + moment)
         self.assertEqual(3, runs)
 
     def test_one_end_seen_by_several_counts_once(self):
         for seen in range(5):
-            self.evidence.hold('d', 'i-1@0', _NOW + seen / 10)
-        self.assertEqual(1, self.evidence.ends('d'))
+            self.history.add_crash('d', 'i-1@0', _NOW + seen / 10)
+        self.assertEqual(1, self.history.crash_count('d'))
 
     def test_engine_that_started_again_under_its_id(self):
         for born in range(3):
-            self.evidence.hold('d', f'i-1@{born}', _NOW + born)
+            self.history.add_crash('d', f'i-1@{born}', _NOW + born)
         self.assertTrue(self.left(2))
 
     def test_whole_answer_clears(self):
         self.end(2)
-        self.assertTrue(self.evidence.clear('d', _NOW + 1.5))
+        self.assertTrue(self.history.clear('d', _NOW + 1.5))
         self.end(2, 2)
-        self.assertEqual(2, self.evidence.ends('d'))
+        self.assertEqual(2, self.history.crash_count('d'))
         self.assertFalse(self.left(3))
 
     def test_nothing_to_clear(self):
-        self.assertFalse(self.evidence.clear('d', _NOW))
-        self.assertFalse(self.evidence.any_suspects)
+        self.assertFalse(self.history.clear('d', _NOW))
+        self.assertFalse(self.history.any_suspects)
 
     def test_records_join_in_any_order(self):
         records = [
@@ -113,37 +113,39 @@
         ]
         joined = []
         for order in ((0, 1, 2), (2, 1, 0), (1, 2, 0), (1, 0, 2, 1, 0)):
-            evidence = Evidence()
+            history = CrashHistory()
             for number in order:
-                evidence.take(records[number], _NOW)
-            joined.append(evidence.record('d'))
+                history.merge(records[number], _NOW)
+            joined.append(history.record('d'))
         ends = {'i-2@0': 2000, 'i-3@0': 5000}
         wanted = SuspectRecord(digest='d', ends=ends, cleared_ms=1500)
         self.assertEqual([wanted] * 4, joined)
 
     def test_known_record_is_no_news(self):
         self.end(2)
-        self.assertFalse(self.evidence.take(self.evidence.record('d'), _NOW))
+        self.assertFalse(self.history.merge(self.history.record('d'), _NOW))
 
     def test_news_are_told_once_and_the_newest_first(self):
         for name in ('a', 'b', 'c'):
-            self.evidence.hold(name, 'i-1@0', _NOW)
-        told = list(self.evidence.news(0, _NOW - 1))
+            self.history.add_crash(name, 'i-1@0', _NOW)
+        told = list(self.history.changes_after(0, _NOW - 1))
         self.assertEqual(['c', 'b', 'a'], [one.digest for _at, one in told])
-        self.assertEqual([], list(self.evidence.news(told[0][0], _NOW - 1)))
+        self.assertEqual(
+            [], list(self.history.changes_after(told[0][0], _NOW - 1))
+        )
 
     def test_forgotten_after_a_day(self):
         self.end(3)
-        self.evidence.forget_old(_NOW + LONGEST_SECONDS + 5)
-        self.assertFalse(self.evidence.any_suspects)
-        self.assertFalse(self.evidence.any_quarantined)
+        self.history.remove_expired(_NOW + MAX_QUARANTINE_SECONDS + 5)
+        self.assertFalse(self.history.any_suspects)
+        self.assertFalse(self.history.any_quarantined)
 
     def test_quarantined_ones_stay_where_suspects_are_many(self):
         self.end(3)
         for number in range(5000):
-            self.evidence.hold(f'd-{number}', 'i-1@0', _NOW)
+            self.history.add_crash(f'd-{number}', 'i-1@0', _NOW)
         self.assertTrue(self.left(3))
-        self.assertLess(len(self.evidence.summary()), 4100)
+        self.assertLess(len(self.history.summary()), 4100)
 
 
 class ReplayTest(unittest.TestCase):
@@ -173,8 +175,8 @@
         ]
     )
     def test_engines_are_spared(self, _name, load, served):
-        found = self.play(load, ENDS_UNTIL_QUARANTINE)
-        most = load.deadly * ENDS_UNTIL_QUARANTINE * _SEEDS
+        found = self.play(load, CRASHES_UNTIL_QUARANTINE)
+        most = load.deadly * CRASHES_UNTIL_QUARANTINE * _SEEDS
         self.assertLessEqual(found.ends, most)
         self.assertEqual(0, found.kept)
         self.assertGreater(found.served / found.good, served)
