--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -20,10 +20,10 @@
     sheds_connections,
 )
 from bendlead_gateway._stopping import StopSchedule
+from bendlead_gateway._teams.admission import TeamAdmission
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.reception import Reception
+from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway._teams.shares import TeamShares
-from bendlead_gateway._teams.told import TeamCounts
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
     NodeName,
@@ -85,7 +85,7 @@
             team_named,
             shares=self.shares,
         )
-        self._reception = Reception(
+        self._admission = TeamAdmission(
             dialect,
             self.fleet.configuration,
             self.limits,
@@ -127,7 +127,7 @@
             super().report(),
             life=counts.life,
             teams=dict(counts.counts),
-            asks_levels=self.limits.asks,
+            asks_levels=self.limits.needs_levels,
             strained=self._strain.strained,
         )
 
@@ -138,14 +138,14 @@
     def hear_report(self, report: NodeReport) -> None:
         """Take what a peer said, levels that were asked for too."""
         super().hear_report(report)
-        self.limits.adopt(report.levels)
+        self.limits.adopt_levels(report.levels)
 
     def hear_teams(
         self, node: NodeName, told: TeamCounts, version: int, heard: float
     ) -> None:
         """Count what another entry let through."""
         if told.life:
-            self.limits.hear(node, told, version, heard)
+            self.limits.receive(node, told, version, heard)
 
     def team_levels(self) -> dict[str, float]:
         """Give the requests of each team that still count."""
@@ -267,7 +267,9 @@
     def _answer_job_call(
         self, request: Request, responder: Responder, public: bool
     ) -> None:
-        admitted = self._reception.admit(request, responder, public=public)
+        admitted = self._admission.authenticate(
+            request, responder, public=public
+        )
         if admitted:
             self._relay.answer(request, responder, admitted.team)
 
@@ -278,17 +280,17 @@
         facts: RequestFacts,
         route: Route,
     ) -> None:
-        admitted = self._reception.admit(
+        admitted = self._admission.authenticate(
             request, responder, public=route.public
         )
         if admitted is None:
             return
         team = admitted.team
-        if not self._reception.count(facts, responder, team):
+        if not self._admission.check_limit(facts, responder, team):
             return
         outcome = self._online.serve(request, responder, facts, route, team)
         if team and outcome == REFUSED:
-            self.limits.give_back(team)
+            self.limits.refund(team)
 
     def _refuse_late(
         self, request: Request, responder: Responder, stop: StopSchedule
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -10,7 +10,7 @@
 from bendlead_gateway._fleet.links import Link, Links
 from bendlead_gateway._fleet.loads import LoadTable, PeerLoad
 from bendlead_gateway._fleet.peer import Peer
-from bendlead_gateway._teams.told import TeamCounts
+from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway.types import EngineId, NodeName, TeamName
 
 _MS = 1000
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
@@ -7,7 +7,7 @@
 from msgspec import Struct, field
 
 from bendlead_gateway._fleet.recent_sums import RecentSums
-from bendlead_gateway._teams.told import TeamCounts
+from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway.types import EngineId, NodeName
 
 #: Reported requests count for this long; then the peer counts as stopped.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -32,7 +32,7 @@
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
 from bendlead_gateway._suspects.suspects import Suspects
-from bendlead_gateway._teams.quota import Group
+from bendlead_gateway._teams.quota import EntryGroup
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import EngineId, NodeName, NodeRole, PeerRecord
 
@@ -127,10 +127,10 @@
         peer = self._peers.get(node)
         return peer.record if peer else None
 
-    def entry_group(self) -> Group:
+    def entry_group(self) -> EntryGroup:
         """Count the entries that currently report, and all there may be."""
         if not self._listed:
-            return Group(1, _ASSUMED_ENTRIES)
+            return EntryGroup(1, _ASSUMED_ENTRIES)
         reporting = 1
         entries = 1
         oldest = clock.uptime() - CUT_SECONDS
@@ -142,7 +142,7 @@
                 peer.counts_received_at = known.reported_at
                 reporting += 1
             entries += max(peer.counts_received_at, peer.listed_at) > oldest
-        return Group(reporting, entries)
+        return EntryGroup(reporting, entries)
 
     def strained_in_hall(self) -> list[bool]:
         """Return the strained flag of each live entry of this hall."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -29,7 +29,7 @@
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._reload import Reloader, SettingsSource
 from bendlead_gateway._suspension import SuspensionWatch
-from bendlead_gateway._teams.told import TeamCounts
+from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
     ClientLimits,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
@@ -63,7 +63,7 @@
         self, exchange: Exchange, service: ServiceName
     ) -> AdmissionRequest:
         team = self._configuration.team_named(exchange.team)
-        exchange.turn = self._shares.turn(team)
+        exchange.turn = self._shares.share_use(team)
         behind = self._queue.is_ahead_of(service, exchange.turn)
         return AdmissionRequest(
             exchange.route.target,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -27,7 +27,7 @@
 class FairShares(Protocol):
     """Source of the use that teams make of their shares."""
 
-    def turn(self, team: Team | None) -> ShareUse:
+    def share_use(self, team: Team | None) -> ShareUse:
         """Return the team's recent requests and its share."""
 
 
@@ -153,7 +153,9 @@
 
     def _release_next(self, service: ServiceName, rules: QueuePolicy) -> None:
         for queued in rules.queued:
-            queued.share_use = self._shares.turn(self._team_named(queued.team))
+            queued.share_use = self._shares.share_use(
+                self._team_named(queued.team)
+            )
         for unlikely in rules.expired():
             self._wake(rules, unlikely, 'no slot expected before its deadline')
         wait = self._wait_of(service)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/reception.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/admission.py
@@ -10,14 +10,18 @@
 from bendlead_gateway._http.messages import Request, Responder
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
-from bendlead_gateway._teams.access import Access, Admitted, TurnedAway
+from bendlead_gateway._teams.authentication import (
+    Admitted,
+    Authenticator,
+    Rejected,
+)
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.returns import Over, ReturnTimes
+from bendlead_gateway._teams.retry_times import OverLimit, RetryTimes
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import RequestFacts, Team
 
 
-class Reception:
+class TeamAdmission:
     """Reject callers without a valid key, and requests over a team's limit."""
 
     def __init__(
@@ -25,39 +29,39 @@
         dialect: Dialect,
         configuration: ConfigurationHolder,
         limits: TeamLimits,
-        surely_newest: Callable[[], bool],
+        is_newest: Callable[[], bool],
         log: Log,
         metrics: Metrics,
     ) -> None:
         """Check requests of one entry.
 
-        ``surely_newest`` returns whether the configuration in force is known
+        ``is_newest`` returns whether the configuration in force is known
         to be the newest.
         """
         self._dialect = dialect
         self._configuration = configuration
-        self._access = Access(configuration)
-        self._surely_newest = surely_newest
+        self._authenticator = Authenticator(configuration)
+        self._is_newest = is_newest
         self._log = log
         self._metrics = metrics
         self.limits = limits
-        self._retry_times = ReturnTimes(clock.uptime)
+        self._retry_times = RetryTimes(clock.uptime)
 
-    def admit(
+    def authenticate(
         self, request: Request, responder: Responder, *, public: bool
     ) -> Admitted | None:
         """Return the caller's team, or send an error and return ``None``."""
-        decision = self._access.judge(
+        decision = self._authenticator.authenticate(
             self._dialect.caller_key(request.headers),
             public=public,
-            surely_newest=self._surely_newest(),
+            is_newest=self._is_newest(),
         )
         if isinstance(decision, Admitted):
             return decision
         self._reject(request, responder, decision)
         return None
 
-    def count(
+    def check_limit(
         self, facts: RequestFacts, responder: Responder, team: Team | None
     ) -> bool:
         """Return whether a team is within its limit; else send a 429."""
@@ -75,12 +79,12 @@
             rate=team.rate,
             burst=team.burst,
             wait=round(wait, 3),
-            entries_heard=self.limits.group.heard,
+            entries_heard=self.limits.group.reachable,
             entries=self.limits.group.entries,
         )
-        rate = team.rate / self.limits.group.heard
-        over = Over(team.name, wait, rate, facts.patience)
-        retry_after = self._retry_times.deal(over, random.random)
+        rate = team.rate / self.limits.group.reachable
+        over = OverLimit(team.name, wait, rate, facts.patience)
+        retry_after = self._retry_times.assign(over, random.random)
         responder.answer(
             HTTPStatus.TOO_MANY_REQUESTS,
             [('Retry-After', f'{retry_after:.3f}')],
@@ -88,7 +92,7 @@
         return False
 
     def _reject(
-        self, request: Request, responder: Responder, rejection: TurnedAway
+        self, request: Request, responder: Responder, rejection: Rejected
     ) -> None:
         facts = self._dialect.request_facts(request.headers)
         self._log.event(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/access.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/authentication.py
@@ -17,7 +17,7 @@
     team: Team | None
 
 
-class TurnedAway(Struct, frozen=True):
+class Rejected(Struct, frozen=True):
     """A rejected caller; ``retry_after`` (s) is set where a retry may help."""
 
     reason: str
@@ -25,15 +25,15 @@
     retry_after: float | None = None
 
 
-class Access:
+class Authenticator:
     """Check keys against the current configuration of this process."""
 
     def __init__(self, configuration: ConfigurationHolder) -> None:
         self._configuration = configuration
 
-    def judge(
-        self, key: KeyDigest | None, *, public: bool, surely_newest: bool
-    ) -> Admitted | TurnedAway:
+    def authenticate(
+        self, key: KeyDigest | None, *, public: bool, is_newest: bool
+    ) -> Admitted | Rejected:
         """Return the caller's team, or why the caller is rejected.
 
         Only the newest configuration can show that a key is unknown: an older
@@ -44,12 +44,12 @@
         if key is None and public:
             return Admitted(None)
         if key is None:
-            return TurnedAway('no key', HTTPStatus.UNAUTHORIZED)
+            return Rejected('no key', HTTPStatus.UNAUTHORIZED)
         team = self._configuration.team_of(key)
         if team is not None:
             return Admitted(team)
-        if surely_newest:
-            return TurnedAway('unknown key', HTTPStatus.UNAUTHORIZED)
-        return TurnedAway(
+        if is_newest:
+            return Rejected('unknown key', HTTPStatus.UNAUTHORIZED)
+        return Rejected(
             'key not known yet', HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_SECONDS
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
@@ -11,12 +11,12 @@
 from bendlead_gateway._teams.quota import (
     Allowance,
     Bucket,
-    Group,
+    EntryGroup,
     allowance,
-    most_at_once,
+    max_burst,
 )
+from bendlead_gateway._teams.reported_counts import EntryCounts, TeamCounts
 from bendlead_gateway._teams.shares import TeamShares
-from bendlead_gateway._teams.told import TeamCounts, ToldByEntry
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 
 _MS_PER_SECOND = 1000
@@ -50,7 +50,7 @@
     def __init__(
         self,
         window: LimitWindow,
-        group: Callable[[], Group],
+        group: Callable[[], EntryGroup],
         team_named: Callable[[TeamName], Team | None],
         now: Callable[[], float] = clock.uptime,
         life: int = 0,
@@ -70,24 +70,24 @@
         self._life = life or round(time.time() * _MS_PER_SECOND)
         self._usage: dict[TeamName, _Usage] = {}
         self._own = OwnCounts(shares)
-        self._reported: dict[NodeName, ToldByEntry] = {}
-        self._group = Group(1, 1)
+        self._reported: dict[NodeName, EntryCounts] = {}
+        self._group = EntryGroup(1, 1)
         self._next_group_update = 0.0
 
     @property
-    def group(self) -> Group:
+    def group(self) -> EntryGroup:
         """The reachable entries as of the last update."""
         return self._group
 
     @property
-    def asks(self) -> bool:
+    def needs_levels(self) -> bool:
         """Whether peers are asked for their levels."""
         return self._now() - self._started < _STARTUP_SECONDS
 
     @property
     def counts(self) -> TeamCounts:
         """The requests admitted here, of teams with recent requests."""
-        return TeamCounts(self._life, self._own.told(self._now()))
+        return TeamCounts(self._life, self._own.recent(self._now()))
 
     def levels(self) -> dict[TeamName, float]:
         """Return the bucket level of each team with requests in its bucket."""
@@ -126,7 +126,7 @@
             self._add(usage, 1)
         return wait
 
-    def give_back(self, team: Team) -> None:
+    def refund(self, team: Team) -> None:
         """Uncount a request that did not run."""
         if not team.limited and self._own.shares:
             self._own.add(team.name, -1, self._now())
@@ -135,7 +135,7 @@
         if usage is not None:
             self._add(usage, -1)
 
-    def hear(
+    def receive(
         self,
         node: NodeName,
         counts: TeamCounts,
@@ -147,20 +147,22 @@
         ``version`` is the entry's rising number of these counts,
         ``reported_at`` their time on the steady clock (s).
         """
-        known = self._reported.setdefault(node, ToldByEntry())
-        interval = reported_at - known.heard
+        known = self._reported.setdefault(node, EntryCounts())
+        interval = reported_at - known.reported_at
         overdue = interval > _OVERDUE_SECONDS
-        admitted = known.take(counts, version, reported_at, new=not self.asks)
+        admitted = known.update(
+            counts, version, reported_at, new=not self.needs_levels
+        )
         if self._own.shares:
-            self._own.shares.hear(admitted, interval)
+            self._own.shares.receive(admitted, interval)
         for name, added in admitted.items():
             usage = self._usage_named(name)
             if usage is not None and added:
                 self._add_reported(usage, added, overdue=overdue)
 
-    def adopt(self, levels: Mapping[str, float]) -> None:
+    def adopt_levels(self, levels: Mapping[str, float]) -> None:
         """Take over the levels of a peer, shortly after the start only."""
-        if not self.asks:
+        if not self.needs_levels:
             return
         for name, level in levels.items():
             usage = self._usage_named(TeamName(name))
@@ -168,7 +170,10 @@
                 usage.bucket.level = max(usage.bucket.level, level)
 
     def _estimate_unreported(self, team: TeamName, now: float) -> float:
-        return sum(entry.unseen(team, now) for entry in self._reported.values())
+        return sum(
+            entry.estimate_unreported(team, now)
+            for entry in self._reported.values()
+        )
 
     def _add_reported(
         self, usage: _Usage, added: int, *, overdue: bool
@@ -214,7 +219,7 @@
 
     def _start_usage(self, team: Team) -> _Usage:
         usage = _Usage(
-            Bucket(most_at_once(team, self._window), self._started),
+            Bucket(max_burst(team, self._window), self._started),
             Bucket(max(0, self._allowed(team).capacity - 1), self._now()),
             team,
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/own_counts.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/own_counts.py
@@ -40,7 +40,7 @@
         own = self._counts.get(team)
         return own.count if own else 0
 
-    def told(self, now: float) -> dict[TeamName, int]:
+    def recent(self, now: float) -> dict[TeamName, int]:
         """Return the counts that changed recently."""
         oldest = now - _REPORTED_SECONDS
         return {
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/quota.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/quota.py
@@ -22,21 +22,21 @@
 _MINORITY_REQUESTS = 1.0
 
 
-class Group(Struct, frozen=True):
+class EntryGroup(Struct, frozen=True):
     """The number of connected entries, with this one, and of all entries."""
 
-    heard: int
+    reachable: int
     entries: int
 
     @property
     def majority(self) -> bool:
         """Whether no other group can be as large."""
-        return self.heard * 2 > self.entries
+        return self.reachable * 2 > self.entries
 
     @property
     def share(self) -> float:
         """The fraction of all entries that is in this group."""
-        return self.heard / self.entries
+        return self.reachable / self.entries
 
 
 class Allowance(Struct, frozen=True):
@@ -46,7 +46,7 @@
     capacity: float
 
 
-def allowance(team: Team, window: LimitWindow, group: Group) -> Allowance:
+def allowance(team: Team, window: LimitWindow, group: EntryGroup) -> Allowance:
     """Return the part of a team's limit that a group of entries may use.
 
     A minority uses its fraction of the entries. The majority leaves what the
@@ -55,7 +55,7 @@
     """
     total = team.rate * window.seconds + team.burst
     tolerance = _tolerance(team, window)
-    capacity = most_at_once(team, window)
+    capacity = max_burst(team, window)
     if not group.majority:
         least = _MINORITY_REQUESTS if group.entries <= tolerance else 0
         return Allowance(
@@ -67,7 +67,7 @@
     return Allowance(team.rate * part, max(1, capacity * part))
 
 
-def most_at_once(team: Team, window: LimitWindow) -> float:
+def max_burst(team: Team, window: LimitWindow) -> float:
     """Return how many requests of a team may be admitted at once.
 
     An entry that starts assumes that all of them are used up.
@@ -86,12 +86,12 @@
     """Leaky bucket: a team's requests that have not drained at its rate."""
 
     level: float
-    at: float
+    updated_at: float
 
     def drain(self, now: float, allowed: Allowance) -> None:
         """Drain at the allowed rate up to ``now``, on the steady clock (s)."""
-        elapsed = max(0, now - self.at)
-        self.at = max(self.at, now)
+        elapsed = max(0, now - self.updated_at)
+        self.updated_at = max(self.updated_at, now)
         self.level = max(0, self.level - elapsed * allowed.rate)
 
     def add(self, requests: float, max_level: float = math.inf) -> None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/told.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/reported_counts.py
@@ -46,15 +46,15 @@
         return added
 
 
-class ToldByEntry(Struct):
-    """The latest counts of one entry; ``heard`` is their time (s)."""
+class EntryCounts(Struct):
+    """The latest counts of one entry; ``reported_at`` is their time (s)."""
 
     life: int = 0
     version: int = -1
-    heard: float = 0
+    reported_at: float = 0
     _teams: dict[TeamName, _TeamCount] = field(default_factory=dict)
 
-    def take(
+    def update(
         self,
         reported: TeamCounts,
         version: int,
@@ -68,7 +68,7 @@
         they are known from peers, or too old.
         """
         older = reported.life < self.life or version < self.version
-        if older and reported_at - self.heard < _MAX_REPORT_AGE_SECONDS:
+        if older and reported_at - self.reported_at < _MAX_REPORT_AGE_SECONDS:
             # A relayed report that is out of date. With a longer gap the
             # entry has restarted after its clock was set back.
             return {}
@@ -76,7 +76,7 @@
             new = new or self.life > 0
             self.life = reported.life
             self._teams.clear()
-        self.heard = max(self.heard, reported_at)
+        self.reported_at = max(self.reported_at, reported_at)
         if version == self.version:
             return {}
         self.version = version
@@ -93,10 +93,10 @@
                 idle.rate = 0
         return added
 
-    def unseen(self, team: TeamName, now: float) -> float:
+    def estimate_unreported(self, team: TeamName, now: float) -> float:
         """Estimate a team's requests that the entry admitted since then."""
         known = self._teams.get(team)
         if known is None:
             return 0
-        age = max(0, now - self.heard)
+        age = max(0, now - self.reported_at)
         return known.rate * age if age < _MAX_REPORT_AGE_SECONDS else 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/returns.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/retry_times.py
@@ -20,21 +20,21 @@
 _MAX_TEAMS = 1000
 
 
-class Over(Struct, frozen=True):
+class OverLimit(Struct, frozen=True):
     """A rejected request.
 
     ``wait`` is the time until its team is within the limit (s), ``rate`` what
-    this entry may admit of the team (1/s), ``patience`` the client's timeout
+    this entry may admit of the team (1/s), ``timeout`` the client's timeout
     (s).
     """
 
     team: TeamName
     wait: float
     rate: float
-    patience: float | None = None
+    timeout: float | None = None
 
 
-class ReturnTimes:
+class RetryTimes:
     """Assign each rejected request of a team its own retry time."""
 
     def __init__(self, now: Callable[[], float]) -> None:
@@ -42,25 +42,25 @@
         #: Time of the next free retry, by team.
         self._next_free: dict[TeamName, float] = {}
 
-    def deal(self, over: Over, draw: RandomSource) -> float:
+    def assign(self, request: OverLimit, draw: RandomSource) -> float:
         """Return the seconds after which a request should be retried."""
         now = self._now()
-        first = max(now + over.wait, self._next_free.pop(over.team, 0.0))
+        first = max(now + request.wait, self._next_free.pop(request.team, 0.0))
         delay = first - now
-        max_delay = self._max_delay(over)
+        max_delay = self._max_delay(request)
         if delay < max_delay:
-            self._set_next_free(over.team, first + 1 / over.rate)
-            return delay + draw() * max(over.wait, _MIN_SPREAD_SECONDS)
+            self._set_next_free(request.team, first + 1 / request.rate)
+            return delay + draw() * max(request.wait, _MIN_SPREAD_SECONDS)
         # No time is free that the client would accept.
-        self._set_next_free(over.team, first)
-        return over.wait + draw() * max(
-            _MIN_SPREAD_SECONDS, max_delay - over.wait
+        self._set_next_free(request.team, first)
+        return request.wait + draw() * max(
+            _MIN_SPREAD_SECONDS, max_delay - request.wait
         )
 
-    def _max_delay(self, over: Over) -> float:
-        if over.patience is None:
+    def _max_delay(self, request: OverLimit) -> float:
+        if request.timeout is None:
             return _MAX_RETRY_SECONDS
-        return over.patience * _MAX_TIMEOUT_SHARE
+        return request.timeout * _MAX_TIMEOUT_SHARE
 
     def _set_next_free(self, team: TeamName, retry_at: float) -> None:
         self._next_free[team] = retry_at
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
@@ -16,7 +16,7 @@
 from bendlead_gateway.types import Team, TeamName
 
 #: Time in which the weight of past requests falls by a factor of e.
-LATELY_SECONDS = 1.0
+DECAY_SECONDS = 1.0
 #: Requests of each team that don't count towards its share, so that random
 #: arrivals don't put a small team over it.
 _FREE_REQUESTS = 2.0
@@ -60,15 +60,17 @@
         scaled = requests * self._scale()
         self._sums[team] = max(0, self._sums.get(team, 0.0) + scaled)
 
-    def hear(self, admitted: Mapping[TeamName, int], interval: float) -> None:
+    def receive(
+        self, admitted: Mapping[TeamName, int], interval: float
+    ) -> None:
         """Add what another entry admitted in an interval (s)."""
         # Only the last part of a long interval is recent.
-        part = LATELY_SECONDS / max(interval, LATELY_SECONDS)
+        part = DECAY_SECONDS / max(interval, DECAY_SECONDS)
         for name, requests in admitted.items():
             if requests:
                 self.add(name, requests * part)
 
-    def turn(self, team: Team | None) -> ShareUse:
+    def share_use(self, team: Team | None) -> ShareUse:
         """Return a team's recent requests and its share."""
         if team is None:
             return UNCONTESTED
@@ -84,9 +86,9 @@
             if team is None or scaled < _NEGLIGIBLE_REQUESTS * scale:
                 continue
             use = self._share_use(team, scale, snapshot)
-            summary[name] = {'had': round(scaled / scale / LATELY_SECONDS, 2)}
+            summary[name] = {'had': round(scaled / scale / DECAY_SECONDS, 2)}
             if use.share < math.inf:
-                summary[name]['share'] = round(use.share / LATELY_SECONDS, 2)
+                summary[name]['share'] = round(use.share / DECAY_SECONDS, 2)
         return summary
 
     def _share_use(
@@ -103,7 +105,7 @@
 
     def _scale(self) -> float:
         """Return the weight of a request that is added now."""
-        scale = math.exp((self._now() - self._since) / LATELY_SECONDS)
+        scale = math.exp((self._now() - self._since) / DECAY_SECONDS)
         if scale < _MAX_SCALE:
             return scale
         self._since = self._now()
--- a/packages/bendlead-gateway/src/bendlead_gateway/teams.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/teams.py
@@ -1,12 +1,12 @@
 """Limits of teams over all entries, for whatever face takes their requests."""
 
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.quota import Group
-from bendlead_gateway._teams.told import TeamCounts
+from bendlead_gateway._teams.quota import EntryGroup
+from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 
 __all__ = (
-    'Group',
+    'EntryGroup',
     'LimitWindow',
     'NodeName',
     'Team',
--- a/packages/bendlead-node/src/bendlead_node/_entry/members.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/members.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from bendlead_gateway.teams import Group
+from bendlead_gateway.teams import EntryGroup
 from bendlead_schema.messages import EndpointHeartbeat, EntryHeartbeat
 from bendlead_store import clock
 
@@ -56,13 +56,13 @@
         known.heartbeat = heartbeat
         known.heard = now
 
-    def group(self) -> Group:
+    def group(self) -> EntryGroup:
         """Count the entries that are alive, and those that may be."""
         now = clock.uptime()
         ages = [now - peer.heard for peer in self._entries.values()]
         heard = sum(age < self._suspect_after for age in ages)
         known = sum(age < _CUT_SECONDS for age in ages)
-        return Group(heard + 1, known + 1)
+        return EntryGroup(heard + 1, known + 1)
 
     def entries(self) -> list[EntryHeartbeat]:
         """List the other entries that are alive."""
--- a/packages/bendlead-node/src/bendlead_node/_entry/shared_limits.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/shared_limits.py
@@ -98,8 +98,8 @@
         teams = {
             TeamName(name): count for name, count in heartbeat.teams.items()
         }
-        self._limits.adopt(heartbeat.levels)
-        self._limits.hear(
+        self._limits.adopt_levels(heartbeat.levels)
+        self._limits.receive(
             NodeName(heartbeat.node),
             TeamCounts(heartbeat.life, teams),
             heartbeat.beat,
--- a/testing/src/bendlead_testing/team_replay.py
+++ b/testing/src/bendlead_testing/team_replay.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.quota import Group
+from bendlead_gateway._teams.quota import EntryGroup
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 
 TEAM = TeamName('team-1')
@@ -112,7 +112,7 @@
     def tell(self) -> None:
         """Have all tell all; it is heard some time later."""
         self._version += 1
-        asked = any(one.asks for one in self.limits)
+        asked = any(one.needs_levels for one in self.limits)
         for one, limits in enumerate(self.limits):
             self._tell_others(one, limits, asked=asked)
 
@@ -135,9 +135,11 @@
             def hear(other: int = other) -> None:
                 listener = self.limits[other]
                 self._heard[other][one] = said
-                if listener.asks:
-                    listener.adopt(levels)
-                listener.hear(NodeName(f'entry-{one}'), counts, version, said)
+                if listener.needs_levels:
+                    listener.adopt_levels(levels)
+                listener.receive(
+                    NodeName(f'entry-{one}'), counts, version, said
+                )
 
             self._under_way.append((said + self._load.delay, hear))
 
@@ -162,14 +164,14 @@
         )
         return made
 
-    def _group(self, entry: int) -> Group:
+    def _group(self, entry: int) -> EntryGroup:
         oldest = self._clock.now - _HEARD_SECONDS
         heard = sum(
             at > oldest
             for other, at in enumerate(self._heard[entry])
             if other != entry
         )
-        return Group(heard + 1, self._load.entries)
+        return EntryGroup(heard + 1, self._load.entries)
 
 
 def play(load: TeamLoad, seed: int = 1) -> TeamTally:
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -22,7 +22,7 @@
 from bendlead_gateway._scheduling.team_shares import ShareUse
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.quota import Group
+from bendlead_gateway._teams.quota import EntryGroup
 from bendlead_gateway._teams.shares import TeamShares
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 
@@ -143,7 +143,7 @@
         self._all = load.engines * load.slots / load.run
         self._weights = sum(one.rate or 1 for one in load.teams)
 
-    def turn(self, team: Team | None) -> ShareUse:
+    def share_use(self, team: Team | None) -> ShareUse:
         """Compare with a fixed part of all places."""
         assert team is not None
         had = self._sums.get(team.name, 0.0) / self._scale()
@@ -162,7 +162,7 @@
         level = max(0, min(level, rate + 4))
         self._sums[team] = (level, self._now())  # type: ignore[assignment]
 
-    def turn(self, team: Team | None) -> ShareUse:
+    def share_use(self, team: Team | None) -> ShareUse:
         """Compare with a quarter of a second of the share."""
         assert team is not None
         self.add(team.name, 0)
@@ -199,7 +199,7 @@
                 self.shares.prepare(load)
         self.limits = TeamLimits(
             LimitWindow(5, 0.1, 20),
-            lambda: Group(load.entries, load.entries),
+            lambda: EntryGroup(load.entries, load.entries),
             named,
             clock,
             life,
@@ -315,7 +315,7 @@
                 for other, counts in enumerate(told):
                     if number != other:
                         name = NodeName(f'e-{other}')
-                        entry.limits.hear(name, counts, version, said)
+                        entry.limits.receive(name, counts, version, said)
 
         self._clock.after(self.load.teams_age, hear)
         self._clock.after(_TELL_SECONDS, self._tell)
@@ -356,7 +356,7 @@
             self._come_back(asked, later, 'over_limit')
             return
         left = self._left(asked)
-        turn = entry.shares.turn(team) if entry.shares else ShareUse()
+        turn = entry.shares.share_use(team) if entry.shares else ShareUse()
         chosen = self._choose()
         behind = entry.rules.is_ahead_of(turn)
         question = admission.AdmissionRequest(load.aim, left, turn, behind)
@@ -379,7 +379,7 @@
         self._refuse(entry, asked, refusal.retry_after)
 
     def _refuse(self, entry: _Entry, asked: _Asked, later: float) -> None:
-        entry.limits.give_back(self.load.teams[asked.team])
+        entry.limits.refund(self.load.teams[asked.team])
         self.tally.wasted += any(
             len(one.running) - sum(one.batch.values()) < self.load.slots
             and not one._queue
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -4,9 +4,9 @@
 import unittest
 
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.quota import Group, allowance
-from bendlead_gateway._teams.returns import Over, ReturnTimes
-from bendlead_gateway._teams.told import TeamCounts
+from bendlead_gateway._teams.quota import EntryGroup, allowance
+from bendlead_gateway._teams.reported_counts import TeamCounts
+from bendlead_gateway._teams.retry_times import OverLimit, RetryTimes
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 from bendlead_testing.team_replay import TEAM, Silence, TeamLoad, play
 from hypothesis import given, settings
@@ -131,13 +131,13 @@
         most = whole * (1 + _WINDOW.excess) + _WINDOW.slack
         passed = 0
         for heard in groups:
-            allowed = allowance(team, _WINDOW, Group(heard, entries))
+            allowed = allowance(team, _WINDOW, EntryGroup(heard, entries))
             passed += allowed.rate * _WINDOW.seconds + allowed.capacity
         self.assertLessEqual(passed, most + 1)
 
     def test_a_few_entries_that_are_not_heard_cost_nobody_anything(self):
-        whole = allowance(_LARGE, _WINDOW, Group(18, 18))
-        most = allowance(_LARGE, _WINDOW, Group(17, 18))
+        whole = allowance(_LARGE, _WINDOW, EntryGroup(18, 18))
+        most = allowance(_LARGE, _WINDOW, EntryGroup(17, 18))
         self.assertEqual(whole, most)
 
 
@@ -146,13 +146,13 @@
 
     def setUp(self):
         self.now = 100.0
-        self.times = ReturnTimes(lambda: self.now)
+        self.times = RetryTimes(lambda: self.now)
         self.chance = random.Random(1).random
 
     def deal(self, team=TEAM, wait=0.1, patience=5.0):
         """Give the seconds until a caller comes back."""
-        over = Over(team, wait, 10, patience)
-        return self.times.deal(over, self.chance)
+        over = OverLimit(team, wait, 10, patience)
+        return self.times.assign(over, self.chance)
 
     def test_a_single_one_soon_after_there_is_room(self):
         self.assertTrue(0.1 <= self.deal() <= 0.3)
@@ -190,7 +190,7 @@
         self.now = 100.0
         self.limits = TeamLimits(
             _WINDOW,
-            lambda: Group(2, 2),
+            lambda: EntryGroup(2, 2),
             {TEAM: _LARGE}.get,
             lambda: self.now,
             life=1,
@@ -202,7 +202,7 @@
         """Have another entry tell its count."""
         counts = TeamCounts(life, {TEAM: count})
         said = self.now if said is None else said
-        self.limits.hear(NodeName('entry-2'), counts, version, said)
+        self.limits.receive(NodeName('entry-2'), counts, version, said)
 
     def fits(self):
         """Count the requests that fit at this moment."""
@@ -241,7 +241,7 @@
 
     def test_what_has_not_run_goes_back(self):
         self.assertEqual(_FIT, self.fits())
-        self.limits.give_back(_LARGE)
+        self.limits.refund(_LARGE)
         self.assertEqual(1, self.fits())
         self.assertEqual(_FIT, self.limits.counts.counts[TEAM])
 
@@ -263,20 +263,26 @@
 
     def test_a_new_entry_takes_bursts_for_used_up(self):
         limits = TeamLimits(
-            _WINDOW, lambda: Group(2, 2), {TEAM: _LARGE}.get, lambda: self.now
+            _WINDOW,
+            lambda: EntryGroup(2, 2),
+            {TEAM: _LARGE}.get,
+            lambda: self.now,
         )
-        limits.adopt({TEAM: 48.5, 'nobody': 3})
+        limits.adopt_levels({TEAM: 48.5, 'nobody': 3})
         self.assertGreater(limits.take(_LARGE), 0)
 
     def test_a_new_entry_that_hears_nobody_serves_each_team_once(self):
         """All of them may start at the same moment."""
         limits = TeamLimits(
-            _WINDOW, lambda: Group(1, 18), {TEAM: _LARGE}.get, lambda: self.now
+            _WINDOW,
+            lambda: EntryGroup(1, 18),
+            {TEAM: _LARGE}.get,
+            lambda: self.now,
         )
         waits = [limits.take(_LARGE) for _request in range(3)]
         self.assertEqual(0, waits[0])
         self.assertGreater(min(waits[1:]), 0)
 
     def test_old_entries_adopt_nothing(self):
-        self.limits.adopt({TEAM: 48.5})
+        self.limits.adopt_levels({TEAM: 48.5})
         self.assertEqual(_FIT, self.fits())
--- a/tests/test_gateway_passed_on.py
+++ b/tests/test_gateway_passed_on.py
@@ -34,7 +34,7 @@
         self.other = EntryNode(made, store, PlatformDialect())
         self.other.serve()
         eventually(lambda: self.other.fleet.configuration.version == 2)
-        eventually(lambda: self.other.peers.entry_group().heard == 2)
+        eventually(lambda: self.other.peers.entry_group().reachable == 2)
 
     def configure(self, version, keys):
         """Store a configuration with these API keys and wait for it."""
--- a/tests/test_gateway_rest.py
+++ b/tests/test_gateway_rest.py
@@ -37,7 +37,7 @@
         """Start both entries and wait until they exchange reports."""
         self.client = self.entry('entry-1', first_hall)
         self.server = self.entry('entry-2', second_hall)
-        eventually(lambda: self.client.peers.entry_group().heard == 2)
+        eventually(lambda: self.client.peers.entry_group().reachable == 2)
         gevent.sleep(0.3)
 
     def entry(self, name, hall):
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -187,7 +187,7 @@
         store = PlatformStore(made.store_address)
         other = EntryNode(made, store, PlatformDialect())
         other.serve()
-        eventually(lambda: other.peers.entry_group().heard == 2)
+        eventually(lambda: other.peers.entry_group().reachable == 2)
         self.assertEqual([200, 200], [self.status().status for _ in range(2)])
         eventually(lambda: other.limits.levels().get('t', 0) > 1)
         first, self.entry = self.entry, other
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -14,9 +14,9 @@
     shares_by_priority,
 )
 from bendlead_gateway._teams.limits import TeamLimits
-from bendlead_gateway._teams.quota import Group
+from bendlead_gateway._teams.quota import EntryGroup
+from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway._teams.shares import TeamShares
-from bendlead_gateway._teams.told import TeamCounts
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 from bendlead_testing.turn_replay import (
     Room,
@@ -151,7 +151,7 @@
 
     def turn(self, team):
         """Tell the turn of a team by its number."""
-        return self.shares.turn(self.named[f't{team}'])
+        return self.shares.share_use(self.named[f't{team}'])
 
     def make_hot(self):
         """Have one team take most, and twenty take little."""
@@ -168,7 +168,7 @@
 
     def test_callers_without_a_team_are_never_over(self):
         self.make_hot()
-        self.assertIs(UNCONTESTED, self.shares.turn(None))
+        self.assertIs(UNCONTESTED, self.shares.share_use(None))
 
     def test_a_team_that_was_idle_gets_its_share_at_once(self):
         self.make_hot()
@@ -192,7 +192,7 @@
         self.named['new'] = Team(TeamName('new'), rate=100, burst=100)
         self.now += 0.2
         self.shares.add(TeamName('new'), 2)
-        self.assertFalse(self.shares.turn(self.named['new']).over_share)
+        self.assertFalse(self.shares.share_use(self.named['new']).over_share)
         self.assertEqual(
             {'new', *(f't{at}' for at in range(1, 21))},
             set(self.shares.summary()),
@@ -201,7 +201,9 @@
     def test_a_team_that_is_added_has_a_share_at_once(self):
         self.make_hot()
         self.named['new'] = Team(TeamName('new'), rate=100, burst=100)
-        self.assertEqual(1, self.shares.turn(self.named['new']).wait_factor)
+        self.assertEqual(
+            1, self.shares.share_use(self.named['new']).wait_factor
+        )
 
     def test_a_lower_limit_is_a_lower_weight(self):
         for team in range(20):
@@ -233,7 +235,7 @@
         self.assertEqual({}, self.shares.summary())
 
     def test_late_news_count_as_a_second_of_them(self):
-        self.shares.hear({TeamName('t0'): 30}, 3)
+        self.shares.receive({TeamName('t0'): 30}, 3)
         self.assertAlmostEqual(10, self.turn(0).used)
 
 
@@ -246,7 +248,7 @@
         self.shares = TeamShares(lambda _name: self.team, lambda: self.now)
         self.limits = TeamLimits(
             LimitWindow(5, 0.1, 0),
-            lambda: Group(2, 2),
+            lambda: EntryGroup(2, 2),
             lambda _name: self.team,
             lambda: self.now,
             1,
@@ -257,42 +259,46 @@
     def tell(self, count, version):
         """Have another entry tell its count."""
         told = TeamCounts(7, {self.team.name: count})
-        self.limits.hear(NodeName('e-2'), told, version, self.now)
+        self.limits.receive(NodeName('e-2'), told, version, self.now)
 
     def test_a_team_without_limit_is_told_too(self):
         waits = [self.limits.take(self.team) for _request in range(20)]
-        self.limits.give_back(self.team)
+        self.limits.refund(self.team)
         self.assertEqual([0] * 20, waits)
         self.assertEqual({'t': 19}, dict(self.limits.counts.counts))
 
     def test_counts_of_others(self):
         self.tell(5, 1)
         self.now += 0.1
-        before = self.shares.turn(self.team).used
+        before = self.shares.share_use(self.team).used
         self.tell(17, 2)
-        self.assertAlmostEqual(before + 12, self.shares.turn(self.team).used)
+        self.assertAlmostEqual(
+            before + 12, self.shares.share_use(self.team).used
+        )
 
     def test_an_entry_that_starts_hears_what_comes_from_then_on(self):
         """What others let through in their whole life is long past."""
         self.limits._started = self.now
         self.tell(5000, 1)
-        self.assertLess(self.shares.turn(self.team).used, 1)
+        self.assertLess(self.shares.share_use(self.team).used, 1)
         self.now += 0.1
         self.tell(5030, 2)
-        self.assertAlmostEqual(30, self.shares.turn(self.team).used, delta=1)
+        self.assertAlmostEqual(
+            30, self.shares.share_use(self.team).used, delta=1
+        )
 
     def test_an_entry_that_ends_is_forgotten_within_seconds(self):
         self.tell(0, 1)
         self.tell(30, 2)
         self.now += 3
-        self.assertLess(self.shares.turn(self.team).used, 2)
+        self.assertLess(self.shares.share_use(self.team).used, 2)
 
     def test_an_entry_that_starts_again_counts_from_nothing(self):
         self.tell(30, 1)
-        before = self.shares.turn(self.team).used
+        before = self.shares.share_use(self.team).used
         told = TeamCounts(8, {self.team.name: 4})
-        self.limits.hear(NodeName('e-2'), told, 2, self.now)
-        found = self.shares.turn(self.team).used
+        self.limits.receive(NodeName('e-2'), told, 2, self.now)
+        found = self.shares.share_use(self.team).used
         self.assertAlmostEqual(before + 4, found)
 
     def test_a_team_that_gets_a_limit_can_pass_no_more(self):
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -155,7 +155,7 @@
         for peer in entry.members._entries.values():
             peer.heard -= 10
         group = entry.members.group()
-        self.assertEqual((1, 3), (group.heard, group.entries))
+        self.assertEqual((1, 3), (group.reachable, group.entries))
         for peer in entry.members._entries.values():
             peer.heard -= 60
         self.assertEqual(1, entry.members.group().entries)
