--- a/testing/src/bendlead_testing/team_replay.py
+++ b/testing/src/bendlead_testing/team_replay.py
@@ -1,8 +1,7 @@
-"""Replay the requests of teams against the limits that entries hold them to.
+"""Simulate a team's requests against the limits that entries enforce.
 
-Time is simulated: entries tell each other their counts some time after they
-were true, some do not hear each other for a while, and some start again. What
-passed is held against the bound, and what was refused against one exact count.
+Entries report their counts with a delay, are partitioned, or restart. Admitted
+requests are compared with the bound, rejected ones with one exact bucket.
 """
 
 import random
@@ -16,55 +15,55 @@
 
 TEAM = TeamName('team-1')
 _TICK = 0.1
-#: Entries are up for this long (s) before a load begins, at 100 s.
+#: Uptime of the entries when a load begins, at 100 s.
 _UP_SECONDS = 30.0
-#: An entry that was heard of longer ago than this (s) counts as not heard.
-_HEARD_SECONDS = 1.5
+#: Age from which on the last report of an entry makes it unreachable.
+_REACHABLE_SECONDS = 1.5
 
 
 @dataclass(frozen=True, slots=True)
-class Silence:
-    """Keep entries and all others from hearing each other for some seconds."""
+class Partition:
+    """Partition between some entries and all others, for some seconds."""
 
     begin: float
     end: float
     entries: frozenset[int]
 
-    def between(self, one: int, other: int, now: float) -> bool:
-        """Tell whether two entries do not hear each other."""
-        apart = (one in self.entries) != (other in self.entries)
+    def between(self, entry: int, other: int, now: float) -> bool:
+        """Return whether two entries are partitioned from each other."""
+        apart = (entry in self.entries) != (other in self.entries)
         return apart and self.begin <= now < self.end
 
 
 @dataclass(frozen=True, slots=True)
 class TeamLoad:
-    """Say what a team sends and what happens meanwhile; times in seconds."""
+    """Requests of a team and the faults meanwhile; times in seconds."""
 
     team: Team
     offered: float
     seconds: float = 20
     entries: int = 18
-    #: Entries that its clients reach; all where there are none.
+    #: Entries that its clients use; empty for all.
     reached: Sequence[int] = ()
     delay: float = 0.08
-    silences: Sequence[Silence] = ()
-    #: When which entries start again.
+    partitions: Sequence[Partition] = ()
+    #: Times of restarts, with the entries.
     restarts: Sequence[tuple[float, Sequence[int]]] = ()
-    #: For how long an entry that has started hears nobody and is not heard.
+    #: Time after its start in which an entry exchanges no reports.
     joining: float = 0.7
     window: LimitWindow = field(default_factory=lambda: LimitWindow(5, 0.1, 20))
 
 
 @dataclass(slots=True)
 class TeamTally:
-    """Count what passed, what was refused, and what need not have been."""
+    """Admitted and rejected requests, and those rejected wrongly."""
 
     passed: list[float] = field(default_factory=list)
     refused: int = 0
-    wrongly: int = 0
+    wrongly_refused: int = 0
 
     def worst(self, load: TeamLoad) -> float:
-        """Give the worst window, as a part of what may pass in one."""
+        """Return the fullest window as a part of the most allowed in one."""
         window = load.window
         whole = load.team.rate * window.seconds + load.team.burst
         most = whole * (1 + window.excess) + window.slack
@@ -87,96 +86,99 @@
 
 
 class _Entries:
-    """Hold the limits of each entry, and carry what they tell."""
+    """The limits of each entry, and the reports between them."""
 
     def __init__(self, load: TeamLoad, clock: _Clock) -> None:
         self._load = load
         self._clock = clock
-        everybody = range(load.entries)
+        everyone = range(load.entries)
         began = clock.now + _UP_SECONDS
-        self._heard = [[began] * load.entries for _entry in everybody]
-        self._silent = bool(load.silences)
+        self._reported_at = [[began] * load.entries for _entry in everyone]
+        self._has_partitions = bool(load.partitions)
         self._joined = [0.0] * load.entries
         self._version = 1
-        self._under_way: deque[tuple[float, Callable[[], None]]] = deque()
-        self._lives = 0
-        self.limits = [self._start(one) for one in range(load.entries)]
+        self._in_flight: deque[tuple[float, Callable[[], None]]] = deque()
+        self._starts = 0
+        self.limits = [self._start(entry) for entry in range(load.entries)]
 
     def restart(self, entries: Iterable[int]) -> None:
-        """Start entries again; they have heard nobody."""
-        for one in entries:
-            self._heard[one] = [-_HEARD_SECONDS] * self._load.entries
-            self._joined[one] = self._clock.now + self._load.joining
-            self.limits[one] = self._start(one)
-
-    def tell(self) -> None:
-        """Have all tell all; it is heard some time later."""
+        """Restart entries; they have received no reports then."""
+        for entry in entries:
+            self._reported_at[entry] = [
+                -_REACHABLE_SECONDS
+            ] * self._load.entries
+            self._joined[entry] = self._clock.now + self._load.joining
+            self.limits[entry] = self._start(entry)
+
+    def report(self) -> None:
+        """Have all entries send reports to all others."""
         self._version += 1
-        asked = any(one.needs_levels for one in self.limits)
-        for one, limits in enumerate(self.limits):
-            self._tell_others(one, limits, asked=asked)
+        asked = any(limits.needs_levels for limits in self.limits)
+        for entry, limits in enumerate(self.limits):
+            self._report_to_others(entry, limits, asked=asked)
 
     def deliver(self) -> None:
-        """Let come what is due."""
-        while self._under_way and self._under_way[0][0] <= self._clock.now:
-            self._under_way.popleft()[1]()
+        """Deliver the reports that are due."""
+        while self._in_flight and self._in_flight[0][0] <= self._clock.now:
+            self._in_flight.popleft()[1]()
 
-    def _tell_others(
-        self, one: int, limits: TeamLimits, *, asked: bool
+    def _report_to_others(
+        self, entry: int, limits: TeamLimits, *, asked: bool
     ) -> None:
         counts = limits.counts
         levels = limits.levels() if asked else {}
-        said = self._clock.now
+        sent_at = self._clock.now
         version = self._version
         for other in range(self._load.entries):
-            if other == one or self._apart(one, other, said):
+            if other == entry or self._partitioned(entry, other, sent_at):
                 continue
 
-            def hear(other: int = other) -> None:
-                listener = self.limits[other]
-                self._heard[other][one] = said
-                if listener.needs_levels:
-                    listener.adopt_levels(levels)
-                listener.receive(
-                    NodeName(f'entry-{one}'), counts, version, said
+            def receive(other: int = other) -> None:
+                receiver = self.limits[other]
+                self._reported_at[other][entry] = sent_at
+                if receiver.needs_levels:
+                    receiver.adopt_levels(levels)
+                receiver.receive(
+                    NodeName(f'entry-{entry}'), counts, version, sent_at
                 )
 
-            self._under_way.append((said + self._load.delay, hear))
+            self._in_flight.append((sent_at + self._load.delay, receive))
 
-    def _apart(self, one: int, other: int, now: float) -> bool:
-        if now < max(self._joined[one], self._joined[other]):
+    def _partitioned(self, entry: int, other: int, now: float) -> bool:
+        if now < max(self._joined[entry], self._joined[other]):
             return True
-        if not self._silent:
+        if not self._has_partitions:
             return False
         at = now - 100
         return any(
-            silence.between(one, other, at) for silence in self._load.silences
+            partition.between(entry, other, at)
+            for partition in self._load.partitions
         )
 
     def _start(self, entry: int) -> TeamLimits:
-        self._lives += 1
+        self._starts += 1
         made = TeamLimits(
             self._load.window,
             lambda: self._group(entry),
             {self._load.team.name: self._load.team}.get,
             self._clock,
-            life=self._lives,
+            life=self._starts,
         )
         return made
 
     def _group(self, entry: int) -> EntryGroup:
-        oldest = self._clock.now - _HEARD_SECONDS
-        heard = sum(
+        oldest = self._clock.now - _REACHABLE_SECONDS
+        reachable = sum(
             at > oldest
-            for other, at in enumerate(self._heard[entry])
+            for other, at in enumerate(self._reported_at[entry])
             if other != entry
         )
-        return EntryGroup(heard + 1, self._load.entries)
+        return EntryGroup(reachable + 1, self._load.entries)
 
 
 def play(load: TeamLoad, seed: int = 1) -> TeamTally:
-    """Play one load."""
-    chance = random.Random(seed)
+    """Simulate one load."""
+    generator = random.Random(seed)
     clock = _Clock()
     entries = _Entries(load, clock)
     clock.now += _UP_SECONDS
@@ -185,9 +187,8 @@
     exact = _Exact(load.team)
     restarts = deque(load.restarts)
     next_tick = clock.now
-    # What was sent before the counted time has drained away.
     end = clock.now + load.seconds
-    clock.now += chance.expovariate(load.offered)
+    clock.now += generator.expovariate(load.offered)
     while clock.now < end:
         arrival = clock.now
         while next_tick <= arrival:
@@ -195,23 +196,23 @@
             entries.deliver()
             if restarts and restarts[0][0] <= clock.now - 100:
                 entries.restart(restarts.popleft()[1])
-            entries.tell()
+            entries.report()
             next_tick += _TICK
         clock.now = arrival
         entries.deliver()
         fits = exact.take(arrival)
-        limits = entries.limits[chance.choice(reached)]
+        limits = entries.limits[generator.choice(reached)]
         if limits.take(load.team) <= 0:
             tally.passed.append(arrival)
         else:
             tally.refused += 1
-            tally.wrongly += fits
-        clock.now = arrival + chance.expovariate(load.offered)
+            tally.wrongly_refused += fits
+        clock.now = arrival + generator.expovariate(load.offered)
     return tally
 
 
 class _Exact:
-    """Count as one process would that sees all requests."""
+    """Leaky bucket of one process that sees all requests."""
 
     def __init__(self, team: Team) -> None:
         self._team = team
@@ -219,7 +220,7 @@
         self._at = 100.0
 
     def take(self, now: float) -> bool:
-        """Tell whether a request fits."""
+        """Return whether a request is within the limit, and count it."""
         self._level -= (now - self._at) * self._team.rate
         self._level = max(0, self._level)
         self._at = now
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -1,10 +1,6 @@
-"""A request under which every engine ends that begins to run it.
+"""A request that crashes each engine and is sent again to any entry.
 
-Its caller sent it again and again, to whichever entry took the connection.
-On the CI platform thirteen engines ended under one such request, and most of
-the 22 streams that broke off within 12 s only ran beside it. Each entry served
-each attempt by itself and forgot with the answer what had become of it: the
-lines of all attempts showed ``runs=1``, at another entry each time.
+Guards against entries that forget a crash once the attempt has ended.
 """
 
 import base64
@@ -33,14 +29,14 @@
     settings,
 )
 
-_DEADLY = b'deadly prompt'
+_CRASHING_BODY = b'deadly prompt'
 _ENGINES = 9
-#: Engines that end under a request until it is kept from all others.
-_ENDS = 3
+#: Engine crashes until a request is quarantined.
+_CRASHES = 3
 
 
 class CrashCase(unittest.TestCase):
-    """Start a store, engines that can end, and entries."""
+    """Start a store, engines that can crash, and entries."""
 
     def setUp(self):
         self.addCleanup(Tasks().end)
@@ -50,14 +46,14 @@
         self.attempts = 0
 
     def configure(self, *routes, engines=_ENGINES, runs_seconds=0.02):
-        """Set the routes and list engines."""
+        """Set the routes and add engines."""
         self.store.set('config', 'main', configuration(1, *routes))
         for _number in range(engines):
             self.add_engine(runs_seconds)
 
     def add_engine(self, runs_seconds=0.02):
-        """List one more engine."""
-        started = MortalEngine(_DEADLY, runs_seconds)
+        """Add one more engine."""
+        started = MortalEngine(_CRASHING_BODY, runs_seconds)
         self.addCleanup(started.close)
         name = f'i-{len(self.engines)}'
         self.engines.append(started)
@@ -78,7 +74,7 @@
         return node
 
     def owner(self):
-        """Start an owner and wait until it holds all shards."""
+        """Start an owner and wait until it owns all shards."""
         made = settings('owner-1', NodeRole.OWNER, self.store.address)
         store = PlatformStore(made.store_address)
         node = OwnerNode(made, store, PlatformDialect())
@@ -87,7 +83,7 @@
         return node
 
     def submit(self, owner, *bodies):
-        """Hand a job in whose items have these bodies."""
+        """Submit a job whose items have these bodies."""
         items = [
             {
                 'id': f'i{at}',
@@ -105,7 +101,7 @@
         self.assertEqual(202, answer.head.status)
 
     def results(self, owner):
-        """Read the results of the job."""
+        """Return the results of the job."""
         connection = HttpConnection(owner.record.address, 1)
         self.addCleanup(connection.close)
         headers = [('Host', 'a.example')]
@@ -115,8 +111,8 @@
             return []
         return json.loads(answer.body)['results']
 
-    def begin(self, entry, body=_DEADLY, extra=()):
-        """Send a request as a new attempt and give its connection."""
+    def begin(self, entry, body=_CRASHING_BODY, extra=()):
+        """Send a request as a new attempt; return its connection."""
         self.attempts += 1
         connection = HttpConnection(entry.settings.clients_address, 1)
         self.addCleanup(connection.close)
@@ -129,8 +125,8 @@
         connection.send('POST', '/x/1', headers, body, 1)
         return connection
 
-    def ask(self, entry, body=_DEADLY, extra=()):
-        """Send a request as a new attempt; give its status, 0 if cut."""
+    def ask(self, entry, body=_CRASHING_BODY, extra=()):
+        """Send a request as a new attempt; return its status, 0 if broken."""
         connection = self.begin(entry, body, extra)
         try:
             head = connection.read_head(3)
@@ -140,7 +136,7 @@
         return head.status
 
     def repeat(self, entry, times):
-        """Send the request again and again, each time as a new attempt."""
+        """Send the crashing request several times, as new attempts."""
         for _attempt in range(times):
             self.ask(entry)
             gevent.sleep(0.15)
@@ -148,18 +144,18 @@
     @property
     def reached(self):
         """Count the requests that reached engines."""
-        return sum(len(one.bodies) for one in self.engines)
+        return sum(len(engine.bodies) for engine in self.engines)
 
     @property
-    def ended(self):
-        """Count the engines that have ended."""
-        return sum(one.ended for one in self.engines)
+    def crashed(self):
+        """Count the engines that have crashed."""
+        return sum(engine.ended for engine in self.engines)
 
 
-class SightTest(CrashCase):
-    """What the lines tell of an engine's end."""
+class CrashLogTest(CrashCase):
+    """Log lines about engine crashes."""
 
-    def test_lines_name_the_end_and_the_request(self):
+    def test_log_names_the_crash_and_the_request(self):
         self.configure(route('streaming'), engines=2)
         entry = self.entry()
         self.ask(entry)
@@ -173,14 +169,14 @@
     def test_engine_that_breaks_off_one_answer_has_not_ended(self):
         self.configure(route('streaming'), engines=1)
         entry = self.entry()
-        # The connection of the answer closes, and nothing else does.
+        # Only the connection of this response closes.
         started = self.engines[0]
         started.close = lambda: started._open[-1].close()
         self.ask(entry)
         gevent.sleep(0.5)
         self.assertEqual([], self.lines(entry, 'event=engine-ended'))
 
-    def test_planned_end_is_held_against_nobody(self):
+    def test_planned_stop_is_no_crash(self):
         self.configure(route('streaming'), engines=1, runs_seconds=0.4)
         entry = self.entry()
         asked = gevent.spawn(self.ask, entry)
@@ -192,12 +188,12 @@
         self.assertEqual([], self.lines(entry, 'event=engine-ended'))
 
     def lines(self, entry, text):
-        """List the lines of an entry with some text."""
+        """Return the log lines of an entry that contain a text."""
         return [line for line in entry.log.recent if text in line]
 
 
-class RepeatedTest(CrashCase):
-    """The request comes again; few engines may end under it."""
+class RepeatedRequestTest(CrashCase):
+    """Few engines may crash under a request that is sent again."""
 
     def test_entries_together(self):
         self.configure(route('streaming'))
@@ -205,7 +201,7 @@
         for attempt in range(12):
             self.ask(entries[attempt % 3])
             gevent.sleep(0.15)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     def test_after_all_entries_were_restarted(self):
         self.configure(route('streaming'))
@@ -214,15 +210,15 @@
             entry = life.start(partial(self.entry, number))
             self.repeat(entry, 4)
             life.end()
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     def test_item_of_a_job(self):
         self.configure(route('batch', max_attempts=3))
         owner = self.owner()
-        self.submit(owner, _DEADLY)
-        eventually(lambda: self.ended >= _ENDS, 8)
+        self.submit(owner, _CRASHING_BODY)
+        eventually(lambda: self.crashed >= _CRASHES, 8)
         gevent.sleep(3)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     @parameterized.expand(
         [
@@ -235,7 +231,7 @@
         self.configure(route(**changed))
         entry = self.entry()
         self.repeat(entry, 8)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     def test_resumed_by_its_caller(self):
         self.configure(route('streaming', resumable=True, max_attempts=1))
@@ -243,10 +239,10 @@
         for _attempt in range(8):
             self.ask(entry, extra=[('Last-Event-Id', '3')])
             gevent.sleep(0.15)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     def test_caller_leaves_before_the_engine_ends(self):
-        """Nobody reads the answer that breaks off."""
+        """Crashes count also where nobody reads the response."""
         self.configure(route('streaming'), runs_seconds=0.1)
         entry = self.entry()
         for _attempt in range(8):
@@ -254,19 +250,19 @@
             gevent.sleep(0.06)
             connection.close()
             gevent.sleep(0.4)
-            # Some of these meet the engine that is gone.
+            # Some of these are sent to the crashed engine.
             beside = [
                 gevent.spawn(self.ask, entry, b'good %d' % number)
                 for number in range(2 * _ENGINES)
             ]
             gevent.joinall(beside)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
-    def test_refused_at_once_and_truly(self):
-        """It is told when to come back, and has reached no engine."""
+    def test_rejected_with_retry_after(self):
+        """The response has a Retry-After, and no engine gets the request."""
         self.configure(route('streaming'))
         entry = self.entry()
-        self.repeat(entry, _ENDS)
+        self.repeat(entry, _CRASHES)
         reached = self.reached
         head = self.begin(entry).read_head(3)
         self.assertEqual(503, head.status)
@@ -274,7 +270,7 @@
         self.assertEqual(reached, self.reached)
 
     def test_good_requests_are_served(self):
-        """Of the same caller, on the same path, and beside its ends."""
+        """Good requests of the same client and path are not quarantined."""
         self.configure(route('streaming'), runs_seconds=0.05)
         entry = self.entry()
         for attempt in range(8):
@@ -286,18 +282,18 @@
         self.assertEqual(200, self.ask(entry, b'good'))
 
     def test_other_entry_cut_off_from_its_peers(self):
-        """It learns from the object service what the others found."""
+        """It reads the suspects from the object service."""
         self.configure(route('streaming'))
         entry = self.entry(1)
         alone = self.entry(2)
         for one in (entry, alone):
             one.peers.suspects = None
-        self.repeat(entry, _ENDS)
+        self.repeat(entry, _CRASHES)
         self.ask(alone)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     def test_while_the_object_service_is_away(self):
-        """Peers tell one another."""
+        """Peers exchange suspects directly."""
         self.configure(route('streaming'))
         entries = [self.entry(number) for number in range(2)]
         eventually(lambda: all(one.peers.summary() for one in entries))
@@ -305,13 +301,13 @@
         for attempt in range(8):
             self.ask(entries[attempt % 2])
             gevent.sleep(0.15)
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
 
     def test_kept_once_the_object_service_is_back(self):
         self.configure(route('streaming'))
         entry = self.entry()
         self.store.trouble = Trouble.AWAY
-        self.repeat(entry, _ENDS)
+        self.repeat(entry, _CRASHES)
         self.store.trouble = Trouble.NONE
         self.assertTrue(
             eventually(lambda: self.store.list_names('bendlead-suspects'), 6)
@@ -320,19 +316,19 @@
     def test_released_by_the_operator(self):
         self.configure(route('streaming'))
         entry = self.entry()
-        self.repeat(entry, _ENDS)
+        self.repeat(entry, _CRASHES)
         eventually(lambda: self.store.list_names('bendlead-suspects'))
         gevent.sleep(0.5)
         name = self.store.list_names('bendlead-suspects')[0]
         self.store.remove('bendlead-suspects', name)
         gevent.sleep(0.5)
         self.ask(entry)
-        self.assertEqual(_ENDS + 1, self.ended)
+        self.assertEqual(_CRASHES + 1, self.crashed)
 
     def test_released_while_the_watch_was_cut(self):
         self.configure(route('streaming'))
         entry = self.entry()
-        self.repeat(entry, _ENDS)
+        self.repeat(entry, _CRASHES)
         eventually(lambda: self.store.list_names('bendlead-suspects'))
         gevent.sleep(0.5)
         name = self.store.list_names('bendlead-suspects')[0]
@@ -340,10 +336,10 @@
         self.store.forget_history()
         eventually(lambda: 'suspect-released' in ' '.join(entry.log.recent))
         self.ask(entry)
-        self.assertEqual(_ENDS + 1, self.ended)
+        self.assertEqual(_CRASHES + 1, self.crashed)
 
-    def test_peer_that_started_again_is_told_of_single_ends(self):
-        """These are in no object; it hears them of its peers again."""
+    def test_restarted_peer_receives_single_crashes(self):
+        """Single crashes are not stored, so peers must report them again."""
         self.configure(route('streaming'))
         first = self.entry(1)
         life = ProcessLife()
@@ -358,14 +354,14 @@
     def test_good_item_of_the_same_job(self):
         self.configure(route('batch', max_attempts=3))
         owner = self.owner()
-        self.submit(owner, _DEADLY, b'good')
+        self.submit(owner, _CRASHING_BODY, b'good')
         done = eventually(lambda: self.results(owner), 8)
         self.assertEqual(['completed'], [one['state'] for one in done])
 
     def test_item_is_given_up_at_its_retention(self):
         self.configure(route('batch', max_attempts=3, retention_s=4))
         owner = self.owner()
-        self.submit(owner, _DEADLY)
+        self.submit(owner, _CRASHING_BODY)
         done = eventually(lambda: self.results(owner), 12)
         self.assertEqual(['dead_lettered'], [one['state'] for one in done])
-        self.assertEqual(_ENDS, self.ended)
+        self.assertEqual(_CRASHES, self.crashed)
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -1,4 +1,4 @@
-"""How many requests of a team pass, whoever hears whom."""
+"""Rate limits of teams while entries are partitioned or restart."""
 
 import random
 import unittest
@@ -8,7 +8,7 @@
 from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway._teams.retry_times import OverLimit, RetryTimes
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
-from bendlead_testing.team_replay import TEAM, Silence, TeamLoad, play
+from bendlead_testing.team_replay import TEAM, Partition, TeamLoad, play
 from hypothesis import given, settings
 from hypothesis import strategies as st
 from parameterized import parameterized
@@ -16,11 +16,11 @@
 _LARGE = Team(TEAM, rate=33, burst=33)
 _SMALL = Team(TEAM, rate=3, burst=3)
 _WINDOW = LimitWindow(5, 0.1, 20)
-#: Requests of the large team that fit at one moment: its burst, and a part of
-#: what may pass beyond.
+#: Requests of the large team admitted at once: its burst and a part of the
+#: tolerance.
 _FIT = 48
 _ALL = tuple(range(18))
-#: Requests a second of a team that sends many times its usual.
+#: Requests a second of a team far over its limit.
 _HOT = 150.0
 _THREE = frozenset((1, 2, 3))
 
@@ -34,8 +34,8 @@
             ('one_entry', TeamLoad(_LARGE, _HOT, reached=(3,))),
             ('small_team', TeamLoad(_SMALL, 14)),
             (
-                'three_entries_not_heard',
-                TeamLoad(_LARGE, _HOT, silences=[Silence(6, 12, _THREE)]),
+                'three_entries_unreachable',
+                TeamLoad(_LARGE, _HOT, partitions=[Partition(6, 12, _THREE)]),
             ),
             (
                 'one_entry_cut_off_that_clients_reach',
@@ -43,7 +43,7 @@
                     _LARGE,
                     _HOT,
                     reached=(3, 5, 7, 9),
-                    silences=[Silence(6, 12, frozenset((3,)))],
+                    partitions=[Partition(6, 12, frozenset((3,)))],
                 ),
             ),
             (
@@ -51,7 +51,7 @@
                 TeamLoad(
                     _LARGE,
                     _HOT,
-                    silences=[Silence(6, 12, frozenset(range(9)))],
+                    partitions=[Partition(6, 12, frozenset(range(9)))],
                 ),
             ),
             ('all_restarted', TeamLoad(_LARGE, _HOT, restarts=[(7, _ALL)])),
@@ -71,13 +71,13 @@
                 'small_team_all_restarted_twice',
                 TeamLoad(_SMALL, 14, restarts=[(7, _ALL), (9, _ALL)]),
             ),
-            ('slow_news', TeamLoad(_LARGE, _HOT, delay=0.3)),
+            ('slow_reports', TeamLoad(_LARGE, _HOT, delay=0.3)),
         ],
     )
-    def test_never_beyond_the_bound(self, _name, load):
+    def test_bound_is_never_exceeded(self, _name, load):
         tally = play(load, seed=1)
         self.assertLessEqual(tally.worst(load), 1)
-        # A team beyond its limit still gets what the limit grants.
+        # A team over its limit still gets its limit.
         granted = load.team.rate * load.seconds
         self.assertGreater(len(tally.passed), 0.7 * granted)
 
@@ -99,9 +99,9 @@
                 5,
             ),
             (
-                # What comes to the three entries may be refused there.
-                'three_entries_not_heard',
-                TeamLoad(_LARGE, 20, silences=[Silence(6, 12, _THREE)]),
+                # The three entries may reject the requests sent to them.
+                'three_entries_unreachable',
+                TeamLoad(_LARGE, 20, partitions=[Partition(6, 12, _THREE)]),
                 25,
             ),
             ('at_its_limit', TeamLoad(_LARGE, 32.3), 30),
@@ -113,7 +113,7 @@
 
 
 class AllowanceTest(unittest.TestCase):
-    """What groups of entries may use."""
+    """Parts of a limit for groups of entries."""
 
     @given(
         st.lists(st.integers(1, 30), min_size=1, max_size=30),
@@ -124,67 +124,67 @@
     def test_all_groups_together_stay_within_the_bound(
         self, groups, rate, burst
     ):
-        """Whoever hears whom, for as long as it takes."""
+        """For any partition, however long it lasts."""
         team = Team(TEAM, rate=rate, burst=burst)
         entries = sum(groups)
         whole = rate * _WINDOW.seconds + burst
         most = whole * (1 + _WINDOW.excess) + _WINDOW.slack
         passed = 0
-        for heard in groups:
-            allowed = allowance(team, _WINDOW, EntryGroup(heard, entries))
+        for reachable in groups:
+            allowed = allowance(team, _WINDOW, EntryGroup(reachable, entries))
             passed += allowed.rate * _WINDOW.seconds + allowed.capacity
         self.assertLessEqual(passed, most + 1)
 
-    def test_a_few_entries_that_are_not_heard_cost_nobody_anything(self):
+    def test_a_few_unreachable_entries_lower_no_limit(self):
         whole = allowance(_LARGE, _WINDOW, EntryGroup(18, 18))
         most = allowance(_LARGE, _WINDOW, EntryGroup(17, 18))
         self.assertEqual(whole, most)
 
 
-class ReturnTest(unittest.TestCase):
-    """When callers come back that are one too many."""
+class RetryTimesTest(unittest.TestCase):
+    """Retry times of rejected requests."""
 
     def setUp(self):
         self.now = 100.0
         self.times = RetryTimes(lambda: self.now)
-        self.chance = random.Random(1).random
+        self.draw = random.Random(1).random
 
-    def deal(self, team=TEAM, wait=0.1, patience=5.0):
-        """Give the seconds until a caller comes back."""
-        over = OverLimit(team, wait, 10, patience)
-        return self.times.assign(over, self.chance)
+    def assign(self, team=TEAM, wait=0.1, timeout=5.0):
+        """Return the seconds until a request should be retried."""
+        over = OverLimit(team, wait, 10, timeout)
+        return self.times.assign(over, self.draw)
 
-    def test_a_single_one_soon_after_there_is_room(self):
-        self.assertTrue(0.1 <= self.deal() <= 0.3)
+    def test_single_retry_soon_after_the_limit_allows_it(self):
+        self.assertTrue(0.1 <= self.assign() <= 0.3)
 
-    def test_many_as_far_apart_as_there_is_room(self):
-        """Of all that come back within a second the limit lets ten through."""
-        later = [self.deal() for _caller in range(100)]
+    def test_many_retries_are_spread(self):
+        """Retries of one moment must not exceed the limit by far."""
+        later = [self.assign() for _caller in range(100)]
         soon = [one for one in later if one < 1]
         self.assertLess(max(later), 5 / 3 + 0.2)
         self.assertLess(len(soon), 60)
         worst = max(sum(at <= one < at + 0.2 for one in later) for at in later)
         self.assertLess(worst, 25)
 
-    def test_teams_do_not_wait_for_one_another(self):
+    def test_teams_have_separate_retry_times(self):
         for _caller in range(100):
-            self.deal()
-        self.assertLess(self.deal(TeamName('other')), 0.31)
+            self.assign()
+        self.assertLess(self.assign(TeamName('other')), 0.31)
 
-    def test_times_that_have_passed_count_no_more(self):
+    def test_past_retry_times_are_forgotten(self):
         for _caller in range(15):
-            self.deal()
+            self.assign()
         self.now += 3
-        self.assertLess(self.deal(), 0.31)
+        self.assertLess(self.assign(), 0.31)
 
     def test_bounded_in_teams(self):
         for number in range(2000):
-            self.deal(TeamName(f't{number}'))
+            self.assign(TeamName(f't{number}'))
         self.assertEqual(1000, len(self.times._next_free))
 
 
-class CountTest(unittest.TestCase):
-    """What one entry takes from others."""
+class ReportedCountsTest(unittest.TestCase):
+    """Counts that an entry receives from others."""
 
     def setUp(self):
         self.now = 100.0
@@ -195,51 +195,51 @@
             lambda: self.now,
             life=1,
         )
-        # Long enough to have asked others, and for the burst to be back.
+        # After the startup time, and with the whole burst available.
         self.now += 10
 
-    def tell(self, count, version, life=7, said=None):
-        """Have another entry tell its count."""
+    def report(self, count, version, life=7, sent_at=None):
+        """Receive a count of another entry."""
         counts = TeamCounts(life, {TEAM: count})
-        said = self.now if said is None else said
-        self.limits.receive(NodeName('entry-2'), counts, version, said)
+        sent_at = self.now if sent_at is None else sent_at
+        self.limits.receive(NodeName('entry-2'), counts, version, sent_at)
 
     def fits(self):
-        """Count the requests that fit at this moment."""
+        """Count the requests that are admitted now."""
         count = 0
         while self.limits.take(_LARGE) <= 0:
             count += 1
         return count
 
     def test_what_others_let_through_counts(self):
-        self.tell(30, 5)
+        self.report(30, 5)
         self.assertEqual(_FIT - 30, self.fits())
 
-    def test_news_that_come_twice_count_once(self):
-        self.tell(30, 5)
-        self.tell(30, 5)
-        self.tell(10, 4)
+    def test_repeated_reports_count_once(self):
+        self.report(30, 5)
+        self.report(30, 5)
+        self.report(10, 4)
         self.assertEqual(_FIT - 30, self.fits())
 
     def test_an_entry_that_started_again_counts_from_nothing(self):
-        self.tell(30, 5)
-        self.tell(3, 6, life=8)
+        self.report(30, 5)
+        self.report(3, 6, life=8)
         self.assertEqual(_FIT - 33, self.fits())
 
-    def test_news_of_an_earlier_life_count_no_more(self):
-        self.tell(3, 6, life=8)
-        self.tell(30, 7, life=7)
+    def test_reports_of_an_earlier_start_are_ignored(self):
+        self.report(3, 6, life=8)
+        self.report(30, 7, life=7)
         self.assertEqual(_FIT - 3, self.fits())
 
-    def test_a_life_that_began_before_by_a_clock_set_back(self):
-        """It counts once the other life has not been heard of for long."""
-        self.tell(30, 5, life=8)
+    def test_an_earlier_start_time_by_a_clock_set_back(self):
+        """It counts once there were no reports of the later start for long."""
+        self.report(30, 5, life=8)
         self.now += 10
-        self.tell(0, 2, life=7)
-        self.tell(20, 3, life=7)
+        self.report(0, 2, life=7)
+        self.report(20, 3, life=7)
         self.assertEqual(_FIT - 20, self.fits())
 
-    def test_what_has_not_run_goes_back(self):
+    def test_requests_that_did_not_run_are_refunded(self):
         self.assertEqual(_FIT, self.fits())
         self.limits.refund(_LARGE)
         self.assertEqual(1, self.fits())
@@ -256,7 +256,7 @@
         self.assertEqual(_FIT, self.fits())
         lower = Team(TEAM, rate=3, burst=3)
         wait = self.limits.take(lower)
-        # The rate of the new limit brings the next request.
+        # The next request is admitted at the rate of the new limit.
         self.assertGreater(wait, 0)
         self.now += wait + 0.01
         self.assertEqual(0, self.limits.take(lower))
@@ -271,8 +271,8 @@
         limits.adopt_levels({TEAM: 48.5, 'nobody': 3})
         self.assertGreater(limits.take(_LARGE), 0)
 
-    def test_a_new_entry_that_hears_nobody_serves_each_team_once(self):
-        """All of them may start at the same moment."""
+    def test_a_new_entry_without_peers_serves_each_team_once(self):
+        """All entries may start at the same time."""
         limits = TeamLimits(
             _WINDOW,
             lambda: EntryGroup(1, 18),
--- a/tests/test_gateway_suspects.py
+++ b/tests/test_gateway_suspects.py
@@ -1,4 +1,4 @@
-"""What is held against requests, without engines, and over a replayed load."""
+"""Crash history of suspects, by itself and in a simulated load."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class DigestTest(unittest.TestCase):
-    """Two requests that are the same, and some that are not."""
+    """Digests of equal and of different requests."""
 
     def test_same(self):
         one = digest_request('t', 'POST', 'A.example', '/x?y=1', b'body')
@@ -41,19 +41,19 @@
         self.assertNotEqual(same, digest_request(*parts))
 
 
-class EvidenceTest(unittest.TestCase):
-    """Ends, whole answers, and what processes tell one another."""
+class CrashHistoryTest(unittest.TestCase):
+    """Crashes, complete responses, and records of peers."""
 
     def setUp(self):
         self.history = CrashHistory()
 
     def end(self, count, begin=0):
-        """Let engines end under the request, one a second."""
+        """Add crashes of different engines, one a second."""
         for number in range(begin, begin + count):
             self.history.add_crash('d', f'i-{number}@0', _NOW + number)
 
     def left(self, after, first=REQUEST_QUARANTINE_SECONDS):
-        """Give what is left of its quarantine some seconds after the first."""
+        """Return the quarantine left some seconds after the first crash."""
         return self.history.remaining_quarantine('d', first, _NOW + after)
 
     @parameterized.expand(
@@ -84,7 +84,7 @@
                 self.history.add_crash('d', life, _NOW + moment)
         self.assertEqual(3, runs)
 
-    def test_one_end_seen_by_several_counts_once(self):
+    def test_crash_noticed_by_several_counts_once(self):
         for seen in range(5):
             self.history.add_crash('d', 'i-1@0', _NOW + seen / 10)
         self.assertEqual(1, self.history.crash_count('d'))
@@ -94,7 +94,7 @@
             self.history.add_crash('d', f'i-1@{born}', _NOW + born)
         self.assertTrue(self.left(2))
 
-    def test_whole_answer_clears(self):
+    def test_complete_response_clears(self):
         self.end(2)
         self.assertTrue(self.history.clear('d', _NOW + 1.5))
         self.end(2, 2)
@@ -105,7 +105,7 @@
         self.assertFalse(self.history.clear('d', _NOW))
         self.assertFalse(self.history.any_suspects)
 
-    def test_records_join_in_any_order(self):
+    def test_records_merge_in_any_order(self):
         records = [
             SuspectRecord(digest='d', ends={'i-1@0': 1000, 'i-2@0': 2000}),
             SuspectRecord(digest='d', ends={'i-3@0': 5000, 'i-1@0': 900}),
@@ -121,17 +121,19 @@
         wanted = SuspectRecord(digest='d', ends=ends, cleared_ms=1500)
         self.assertEqual([wanted] * 4, joined)
 
-    def test_known_record_is_no_news(self):
+    def test_known_record_changes_nothing(self):
         self.end(2)
         self.assertFalse(self.history.merge(self.history.record('d'), _NOW))
 
-    def test_news_are_told_once_and_the_newest_first(self):
+    def test_changes_are_listed_newest_first(self):
         for name in ('a', 'b', 'c'):
             self.history.add_crash(name, 'i-1@0', _NOW)
-        told = list(self.history.changes_after(0, _NOW - 1))
-        self.assertEqual(['c', 'b', 'a'], [one.digest for _at, one in told])
+        changes = list(self.history.changes_after(0, _NOW - 1))
         self.assertEqual(
-            [], list(self.history.changes_after(told[0][0], _NOW - 1))
+            ['c', 'b', 'a'], [record.digest for _revision, record in changes]
+        )
+        self.assertEqual(
+            [], list(self.history.changes_after(changes[0][0], _NOW - 1))
         )
 
     def test_forgotten_after_a_day(self):
@@ -140,7 +142,7 @@
         self.assertFalse(self.history.any_suspects)
         self.assertFalse(self.history.any_quarantined)
 
-    def test_quarantined_ones_stay_where_suspects_are_many(self):
+    def test_quarantined_suspects_are_evicted_last(self):
         self.end(3)
         for number in range(5000):
             self.history.add_crash(f'd-{number}', 'i-1@0', _NOW)
@@ -149,10 +151,10 @@
 
 
 class ReplayTest(unittest.TestCase):
-    """Requests that end engines and come again, beside good ones."""
+    """Requests that crash engines and are sent again, beside good ones."""
 
     def play(self, load, bound):
-        """Play some seeds; give means a minute and the share served."""
+        """Simulate a load with several seeds; return the sums."""
         total = CrashOutcome()
         for seed in range(_SEEDS):
             found = CrashReplay(load, bound, seed).play()
@@ -163,22 +165,21 @@
 
     @parameterized.expand(
         [
-            # 0.91, 0.60, 0.74 and 0.33 served with nothing held against any.
             ('two_of_them', CrashLoad(), 0.99),
-            ('four_of_them', CrashLoad(deadly=4), 0.96),
+            ('four_of_them', CrashLoad(crashing=4), 0.96),
             ('busy', CrashLoad(good_per_second=85), 0.96),
             (
                 'long_runs',
-                CrashLoad(good_runs=5, good_per_second=10, deadly=4),
+                CrashLoad(good_seconds=5, good_per_second=10, crashing=4),
                 0.92,
             ),
         ]
     )
-    def test_engines_are_spared(self, _name, load, served):
+    def test_engine_crashes_are_bounded(self, _name, load, served):
         found = self.play(load, CRASHES_UNTIL_QUARANTINE)
-        most = load.deadly * CRASHES_UNTIL_QUARANTINE * _SEEDS
+        most = load.crashing * CRASHES_UNTIL_QUARANTINE * _SEEDS
         self.assertLessEqual(found.ends, most)
-        self.assertEqual(0, found.kept)
+        self.assertEqual(0, found.quarantined)
         self.assertGreater(found.served / found.good, served)
         without = self.play(load, None)
         self.assertGreater(without.ends, 5 * most)
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -1,4 +1,4 @@
-"""Who is let in by which key, and what engines and owners are told of it."""
+"""Authentication by key, limits of teams, and teams of jobs."""
 
 import json
 
@@ -38,7 +38,7 @@
 
 
 class KeyTest(EntryCase):
-    """Which callers an entry lets in."""
+    """Authentication of callers at an entry."""
 
     def begin(self, *routes, answers=(_PLAIN, _PLAIN)):
         """Start an entry whose callers need keys."""
@@ -53,7 +53,7 @@
         eventually(lambda: known.version == version)
 
     def status(self, *extra):
-        """Give the status of one request."""
+        """Return the status of one request."""
         return self.read(self.ask(extra=extra))[0].status
 
     @parameterized.expand(
@@ -125,7 +125,7 @@
         self.assertEqual(200, self.status(('X-Credential', _OTHER_KEY)))
 
     def test_unknown_key_while_the_newest_configuration_is_not_sure(self):
-        """A key may have been added that this entry can't know of yet."""
+        """The newest configuration may have the key."""
         self.begin(route('safe'))
         self.store.trouble = Trouble.CUT
         eventually(lambda: not self.entry.fleet.config_watch.current)
@@ -145,13 +145,13 @@
 
 
 class LimitTest(EntryCase):
-    """What callers over the limit of their team get."""
+    """Responses to requests over the limit of their team."""
 
-    #: Two requests at once fit into this limit, and two more a second later.
+    #: Admits two requests at once, and two more a second later.
     _TEAMS = ({'name': 't', 'api_keys': [_KEY], 'per_s': 2, 'burst': 2},)
 
     def begin(self, answers):
-        """Start an entry, and let the burst come back."""
+        """Start an entry, and wait until its whole burst is available."""
         self.start(route('safe'), answers=answers)
         self.configure(2, self._TEAMS)
         gevent.sleep(1.1)
@@ -164,11 +164,11 @@
         eventually(lambda: known.version == version)
 
     def status(self):
-        """Send a request of the team and give its status."""
+        """Send a request of the team and return the response head."""
         head, _body = self.read(self.ask(extra=[('X-Credential', _KEY)]))
         return head
 
-    def test_one_too_many_is_told_when_to_come_back(self):
+    def test_rejected_request_has_retry_after(self):
         self.begin([_PLAIN])
         self.assertEqual([200, 200], [self.status().status for _ in range(2)])
         refused = self.status()
@@ -194,8 +194,8 @@
         self.assertEqual(429, self.status().status)
         self.assertIs(first.limits.group.majority, True)
 
-    def test_nothing_is_sure_until_the_peers_are_listed(self):
-        """There may be many entries of which this one knows none yet."""
+    def test_no_majority_until_the_peers_are_listed(self):
+        """There may be many entries that this one does not know yet."""
         self.begin([_PLAIN])
         self.assertIs(True, self.entry.peers.entry_group().majority)
         made = settings('entry-2', NodeRole.ENTRY, self.store.address)
@@ -226,7 +226,7 @@
         eventually(lambda: self.node.fleet.configuration.version == 2)
 
     def as_team(self, team, method, target, body=b'', job_id='j1'):
-        """Make a call as an entry passes it on for a team."""
+        """Send a call as an entry forwards it for a team."""
         from bendlead_gateway.http import HttpConnection
 
         connection = HttpConnection(self.node.record.address, 1)
@@ -239,7 +239,7 @@
         return connection.request(method, target, headers, body, 4)
 
     def submit_as(self, team, job_id='j1', **made):
-        """Hand a job in for a team."""
+        """Submit a job for a team; return the status."""
         body = job(**made)
         return self.as_team(team, 'POST', '/x/j1', body, job_id).head.status
 
@@ -313,7 +313,7 @@
         )
         # The operator's own configuration is the only place of keys.
         self.assertEqual(1, stored.count(_STRANGE_KEY))
-        # Items are compressed in the log, so they are looked at unpacked.
+        # Items are compressed in the log.
         (accepted,) = [
             job.state.accepted
             for board in self.node._keeper.owned.values()
@@ -336,7 +336,7 @@
 
 
 class JobKeyTest(EntryCase):
-    """Calls about jobs need a key, and the key goes no further."""
+    """Calls about jobs need a key, which is not forwarded."""
 
     def setUp(self):
         super().setUp()
@@ -355,7 +355,7 @@
         eventually(lambda: self.entry.peers.claims.holder(0))
 
     def call(self, method, target, key, body=b''):
-        """Make a call about a job with a key."""
+        """Send a call about a job with a key; return the status."""
         from bendlead_gateway.http import HttpConnection
 
         connection = HttpConnection(self.entry.settings.clients_address, 1)
@@ -363,7 +363,7 @@
         headers = [('Host', 'a.example'), ('X-Attempt-Id', 'j1')]
         if key:
             headers.append(('X-Credential', key))
-        # A client that names a team itself is not believed.
+        # The team header of a client must be ignored.
         headers.append(('X-Bendlead-Team', 'team-1'))
         return connection.request(method, target, headers, body, 4).head.status
 
