--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/__init__.py
@@ -1,1 +1,1 @@
-"""Types that the whole gateway and its adapters share."""
+"""Data types shared by the gateway and its platform adapters."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/engines.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/engines.py
@@ -1,4 +1,4 @@
-"""Engines and what their answers mean."""
+"""Engines and the interpretation of their responses."""
 
 import enum
 
@@ -13,16 +13,17 @@
 
 
 class EngineState(enum.Enum):
-    """Say whether an engine takes new requests."""
+    """Whether an engine accepts new requests."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class Engine(Struct, frozen=True):
-    """Describe one life of an engine as service discovery tells it.
+    """One incarnation of an engine as listed by service discovery.
 
-    ``born`` tells the lives of an engine apart; 0 where it is not told.
+    ``born`` is the start time of the incarnation in milliseconds since the
+    epoch, 0 if not given; ``warmup`` is the warm-up time in seconds.
     """
 
     engine: EngineId
@@ -36,12 +37,13 @@
 
 
 class EngineAnswer(Struct, frozen=True):
-    """Say what the head of an engine's answer means for the request.
+    """What the status and headers of an engine's response say.
 
-    ``request`` names the request the answer is for, where it tells.
-    ``not_run`` is the engine's word that it did not run the request.
-    ``misdirected`` says that another engine has the address.
-    ``idle_seconds`` is how long the engine keeps an idle connection.
+    ``request`` is the id of the request that the response belongs to, if given.
+    ``not_run`` is true if the engine reports that it did not run the request.
+    ``misdirected`` is true if another engine now has the address.
+    ``closing`` is true if the engine closes the connection afterwards.
+    ``idle_seconds`` is the engine's keep-alive timeout, if given.
     """
 
     request: RequestId | None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/ids.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/ids.py
@@ -1,4 +1,4 @@
-"""Ids, each of its own type."""
+"""Distinct types for ids and names."""
 
 from typing import NewType
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/jobs.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs, calls about them, and their results."""
+"""Batch jobs, requests about them and their results."""
 
 import enum
 from collections.abc import Mapping, Sequence
@@ -10,7 +10,7 @@
 
 
 class JobItem(Struct, frozen=True):
-    """Hold one request of a batch job."""
+    """One request of a batch job."""
 
     item: ItemId
     path: str
@@ -20,23 +20,26 @@
 
 
 class Submission(Struct, frozen=True):
-    """Hold a batch job as a client hands it in."""
+    """A batch job as submitted by a client."""
 
     job: JobId
     host: str
     path: str
     items: Sequence[JobItem]
-    #: Who handed it in; nobody where callers need no key.
+    #: The submitting team; empty if clients need no key.
     team: TeamName = TeamName('')
 
     @property
     def tokens(self) -> int:
-        """Count the tokens of all items."""
-        return sum(one.tokens for one in self.items)
+        """Total number of tokens of all items."""
+        return sum(item.tokens for item in self.items)
 
 
 class ReadResults(Struct, frozen=True):
-    """Ask for the results of a job from a position on; wait in seconds."""
+    """Request for the results of a job after a position.
+
+    ``wait`` is how long to wait for new results, in seconds.
+    """
 
     job: JobId
     after: int
@@ -44,14 +47,14 @@
 
 
 class ReadBody(Struct, frozen=True):
-    """Ask for the body of one item."""
+    """Request for the body of one item."""
 
     job: JobId
     item: ItemId
 
 
 class EndJob(Struct, frozen=True):
-    """Ask for the end of a job."""
+    """Request to end a job."""
 
     job: JobId
 
@@ -60,14 +63,14 @@
 
 
 class ItemOutcome(enum.Enum):
-    """Say how an item ended."""
+    """Final outcome of an item."""
 
     COMPLETED = 'completed'
     GIVEN_UP = 'given_up'
 
 
 class ItemResult(Struct, frozen=True):
-    """Hold the final result of one item."""
+    """Final result of one item."""
 
     item: ItemId
     outcome: ItemOutcome
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/nodes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/nodes.py
@@ -1,4 +1,4 @@
-"""The processes of the gateway."""
+"""Gateway processes (nodes), their settings and their records."""
 
 import enum
 
@@ -9,14 +9,14 @@
 
 
 class NodeRole(enum.Enum):
-    """Say what a process does."""
+    """Role of a gateway process."""
 
     ENTRY = 'entry'
     OWNER = 'owner'
 
 
 class NodeSettings(Struct, frozen=True):
-    """Hold what one process is told at its start; times in seconds."""
+    """Settings that a process is started with; times are in seconds."""
 
     node: NodeName
     role: NodeRole
@@ -31,12 +31,12 @@
     settle: float
     status_kept: float
     limit_window: LimitWindow = field(default_factory=LimitWindow)
-    #: Memory that the process may use (bytes); 0 if no bound is known.
+    #: Memory limit of the process in bytes; 0 if unknown.
     memory: int = 0
 
 
 class PeerRecord(Struct, frozen=True):
-    """Say where a process of ours answers its peers."""
+    """Address and role of a gateway process, as published to its peers."""
 
     node: NodeName
     role: NodeRole
@@ -45,7 +45,7 @@
 
 
 class StopOrder(Struct, frozen=True):
-    """Ask to empty a node within some seconds, or tell that it is empty."""
+    """Order to drain a node within ``seconds``, or its completion."""
 
     node: NodeName
     seconds: float
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/requests.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/requests.py
@@ -1,4 +1,4 @@
-"""What clients send."""
+"""Metadata of client requests."""
 
 from collections.abc import Sequence
 
@@ -10,10 +10,10 @@
 
 
 class RequestFacts(Struct, frozen=True):
-    """Hold what the head of a client's request says to the gateway.
+    """Request metadata that the gateway reads from a client's headers.
 
-    ``patience`` is how long the client waits, in seconds, where it tells.
-    ``resume_after`` is the last event the client has, where it resumes.
+    ``patience`` is the client's timeout in seconds, if given.
+    ``resume_after`` is the id of the last event received, for a resumed stream.
     """
 
     request: RequestId
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/routes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/routes.py
@@ -1,4 +1,4 @@
-"""Routes, services and limits that operators configure."""
+"""Configuration of routes, services and client limits."""
 
 import enum
 from collections.abc import Mapping, Sequence
@@ -10,7 +10,7 @@
 
 
 class RouteKind(enum.Enum):
-    """Say how the requests of a route may be repeated."""
+    """Kind of a route, which decides how its requests may be retried."""
 
     SAFE = 'safe'
     UNSAFE = 'unsafe'
@@ -19,14 +19,14 @@
 
 
 class ServiceShare(Struct, frozen=True):
-    """Give a service its weight among those a route is split over."""
+    """Weight of a service in the traffic split of a route."""
 
     service: ServiceName
     weight: int
 
 
 class Route(Struct, frozen=True):
-    """Say where requests of a host and path go and what may be done to them.
+    """Routing rule for the requests of one host and path prefix.
 
     Times are in seconds.
     """
@@ -45,19 +45,19 @@
     run_target: float = 0
     retention: float = 0
     max_waiting_tokens: int = 0
-    #: Whether requests without a key are served.
+    #: Whether requests without a team key are accepted.
     public: bool = False
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a request may run again after an unknown outcome."""
+        """Whether a request may be retried after an unknown outcome."""
         if self.kind is RouteKind.STREAM:
             return self.resumable
         return self.kind is RouteKind.SAFE
 
 
 class Service(Struct, frozen=True):
-    """Describe the engines of one service."""
+    """Settings for the engines of one service."""
 
     name: ServiceName
     health_path: str
@@ -65,7 +65,7 @@
 
 
 class ClientLimits(Struct, frozen=True):
-    """Bound what a client may send (bytes) and how long it takes (s)."""
+    """Size limits and timeouts for client requests."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -74,11 +74,11 @@
 
 
 class Configuration(Struct, frozen=True):
-    """Hold one whole version of what operators configured."""
+    """One version of the complete configuration."""
 
     version: int
     routes: Sequence[Route]
     services: Mapping[ServiceName, Service]
     limits: ClientLimits = field(default_factory=ClientLimits)
-    #: Where there are teams, requests carry the key of one.
+    #: If not empty, requests must carry a team key, except on public routes.
     teams: Sequence[Team] = ()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/teams.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/teams.py
@@ -1,4 +1,4 @@
-"""Teams, their keys and their limits."""
+"""Teams, their keys and their rate limits."""
 
 import hashlib
 from collections.abc import Sequence
@@ -7,15 +7,18 @@
 from msgspec import Struct
 
 TeamName = NewType('TeamName', str)
-#: A key as it is kept and compared; the key itself is never kept.
+#: Digest of a team key; the key itself is never stored.
 KeyDigest = NewType('KeyDigest', str)
 
-#: 128 bits: a key that somebody makes up meets none of 100,000 others.
+#: 128 bits make guessing a key with a matching digest infeasible.
 _DIGEST_BYTES = 16
 
 
 def digest_key(key: str) -> KeyDigest:
-    """Make the digest of a key; keys are random, so one round is enough."""
+    """Return the digest of a key.
+
+    Keys are random, so a single unsalted hash is enough.
+    """
     raw = key.encode('utf-8', 'surrogateescape')
     return KeyDigest(
         hashlib.blake2b(raw, digest_size=_DIGEST_BYTES).hexdigest()
@@ -23,10 +26,10 @@
 
 
 class Team(Struct, frozen=True):
-    """Say who may call, how urgent its calls are and how many it may make.
+    """A team with its keys, priority and rate limit.
 
-    ``rate`` is in requests a second and ``burst`` in requests above it; a rate
-    of 0 is no limit. Of two teams the one of lower ``priority`` goes first.
+    ``rate`` is in requests per second and ``burst`` in requests; a rate of 0
+    means no limit. A lower ``priority`` value is served first.
     """
 
     name: TeamName
@@ -37,15 +40,15 @@
 
     @property
     def limited(self) -> bool:
-        """Tell whether the requests of the team are counted."""
+        """Whether the team has a rate limit."""
         return self.rate > 0
 
 
 class LimitWindow(Struct, frozen=True):
-    """Say what may pass of a team in each window of some seconds.
+    """Tolerance of the rate limits in each window of ``seconds``.
 
-    That is its rate over the window and its burst, an ``excess`` share more,
-    and ``slack`` requests.
+    In a window a team may send its rate times ``seconds`` plus its burst,
+    increased by the share ``excess``, plus ``slack`` requests.
     """
 
     seconds: float = 5
--- a/packages/bendlead-gateway/src/bendlead_gateway/types.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/types.py
@@ -1,4 +1,4 @@
-"""What the gateway knows of routes, engines, requests and jobs."""
+"""Data types for routes, engines, requests, jobs and teams."""
 
 from bendlead_gateway._types.engines import (
     Engine,
