--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 over gevent sockets, with llhttp as the parser."""
+"""HTTP/1.1 client and server over gevent sockets, parsed by llhttp."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/body_budget.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/body_budget.py
@@ -1,26 +1,25 @@
-"""Bound the bytes of requests that a process holds, over all connections.
+"""Memory limit for buffered request bodies, over all connections.
 
-Load pattern: many clients bring large bodies at once, or engines take theirs
-slowly, at an entry with little memory. Each body is within its limit; together
-they would end the process and all that it serves.
+Guards against many large bodies, each within its own size limit, that together
+exhaust the memory of the process.
 """
 
 from msgspec import Struct
 
 
 class BodyBudget(Struct):
-    """Count the bytes held; each is copied while it is passed on."""
+    """Count of buffered body bytes and their limit."""
 
-    #: The most bytes that may be held; none is set where this is 0.
+    #: Limit in bytes; 0 means no limit.
     most: int = 0
     held: int = 0
 
     @property
     def over(self) -> bool:
-        """Tell whether more is held than may be."""
+        """Whether the limit is exceeded."""
         return 0 < self.most < self.held
 
     @property
     def used(self) -> float:
-        """Give the part of the bound that is used."""
+        """Used share of the limit."""
         return self.held / self.most if self.most else 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection to a peer, used for one request at a time."""
+"""HTTP/1.1 client connection for one request at a time."""
 
 import select
 from collections import deque
@@ -11,44 +11,44 @@
 from bendlead_gateway.types import Headers
 
 _READ_BYTES = 65_536
-_NO_BODY = frozenset((204, 304))
-_FINAL_STATUS = 200
-#: A wait of nothing would mean a wait without end to the socket (s).
-_SHORTEST_WAIT = 0.001
+_STATUSES_WITHOUT_BODY = frozenset((204, 304))
+_MIN_FINAL_STATUS = 200
+#: A socket timeout of 0 would make the socket non-blocking.
+_MIN_TIMEOUT_SECONDS = 0.001
 
 
 class BrokenAnswerError(OSError):
-    """The peer's answer ended early or is no HTTP."""
+    """The peer's response ended early or is not valid HTTP."""
 
 
 class SilentPeerError(BrokenAnswerError):
-    """The peer sent nothing within the time it was given."""
+    """The peer sent nothing within the timeout."""
 
 
 class ResponseHead(Struct, frozen=True):
-    """Hold the status line and the headers of an answer."""
+    """Status line and headers of a response."""
 
     status: int
     reason: str
     headers: Headers
 
     def find(self, name: str) -> str | None:
-        """Find a header by its lower-case name."""
-        for found, text in self.headers:
-            if found.lower() == name:
+        """Return the value of a header by its lower-case name, or None."""
+        for header, text in self.headers:
+            if header.lower() == name:
                 return text
         return None
 
 
 class Response(Struct, frozen=True):
-    """Hold a whole answer."""
+    """Complete response."""
 
     head: ResponseHead
     body: bytes
 
 
-class _Message(Struct):
-    """Gather one answer."""
+class _PartialResponse(Struct):
+    """Response while it is parsed."""
 
     reason: str = ''
     headers: list[tuple[str, str]] = field(default_factory=list)
@@ -57,97 +57,98 @@
     complete: bool = False
 
 
-class _Incoming:
-    """Gather the answers that arrive after one request, each by itself.
+class _ResponseParser:
+    """Parser for the responses that arrive after one request.
 
-    There may be more than one: an engine may answer an earlier request again.
+    There can be several: an engine may first send a late response to an
+    earlier request.
     """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._messages: deque[_Message] = deque()
+        self._responses: deque[_PartialResponse] = deque()
 
     @property
-    def first(self) -> _Message:
-        """Give the answer that is read now."""
-        if not self._messages:
-            self._messages.append(_Message())
-        return self._messages[0]
+    def current(self) -> _PartialResponse:
+        """Response that is read at present."""
+        if not self._responses:
+            self._responses.append(_PartialResponse())
+        return self._responses[0]
 
     @property
-    def ended(self) -> bool:
-        """Tell whether the first answer is whole and nothing follows it."""
-        return len(self._messages) == 1 and self._messages[0].complete
+    def finished(self) -> bool:
+        """Whether the current response is complete and nothing follows it."""
+        return len(self._responses) == 1 and self._responses[0].complete
 
     def feed(self, received: bytes) -> None:
-        """Parse bytes; raise HttpParserError where they are no answer."""
+        """Parse received bytes; raise HttpParserError if they are invalid."""
         self._parser.feed_data(received)
 
-    def drop_first(self) -> None:
-        """Go on to the next answer."""
-        self._messages.popleft()
+    def drop_current(self) -> None:
+        """Drop the current response and continue with the next."""
+        self._responses.popleft()
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
-        if not self._messages or self._messages[-1].complete:
-            self._messages.append(_Message())
+        """Start a response unless an incomplete one exists."""
+        if not self._responses or self._responses[-1].complete:
+            self._responses.append(_PartialResponse())
 
     def on_status(self, status: bytes) -> None:
-        """Keep the reason."""
-        self._messages[-1].reason += status.decode('latin-1')
+        """Append to the reason phrase."""
+        self._responses[-1].reason += status.decode('latin-1')
 
     def on_header(self, name: bytes, text: bytes) -> None:
-        """Keep one header."""
+        """Store one header."""
         decoded = (name.decode('latin-1'), text.decode('latin-1'))
-        self._messages[-1].headers.append(decoded)
+        self._responses[-1].headers.append(decoded)
 
     def on_headers_complete(self) -> None:
-        """Keep the head."""
-        latest = self._messages[-1]
+        """Store the status line and the headers."""
+        latest = self._responses[-1]
         status = self._parser.get_status_code()
         latest.head = ResponseHead(status, latest.reason, latest.headers)
 
     def on_body(self, body: bytes) -> None:
-        """Keep a part of the body."""
-        self._messages[-1].body.append(body)
+        """Store a part of the body."""
+        self._responses[-1].body.append(body)
 
     def on_message_complete(self) -> None:
-        """Mark the end of the answer."""
-        self._messages[-1].complete = True
+        """Mark the response as complete."""
+        self._responses[-1].complete = True
 
 
 class HttpConnection:
-    """Send requests to one peer and read its answers.
+    """Client connection to one peer.
 
-    Everything raises OSError where the connection fails.
+    All methods raise OSError if the connection fails.
     """
 
     def __init__(self, address: str, timeout: float) -> None:
         self.address = address
         self._sock = connect(address, timeout)
-        self._incoming = _Incoming()
+        self._response_parser = _ResponseParser()
         self._reusable = True
-        self._sent = 0
+        self._request_count = 0
 
     @property
     def used(self) -> bool:
-        """Tell whether an earlier request went out on this connection."""
-        return self._sent > 0
+        """Whether a request has been sent on this connection."""
+        return self._request_count > 0
 
     @property
     def reusable(self) -> bool:
-        """Tell whether another request may go out on this connection."""
-        return self._reusable and self._incoming.ended
+        """Whether another request may be sent on this connection."""
+        return self._reusable and self._response_parser.finished
 
     @property
     def quiet(self) -> bool:
-        """Tell whether an idle connection is open and holds no bytes."""
+        """Whether the connection is open and has no unread bytes."""
         poll = select.poll()
         poll.register(self._sock.fileno(), select.POLLIN)
         return not poll.poll(0)
 
     def close(self) -> None:
-        """Close the connection; the peer stops what runs on it."""
+        """Close the connection; the peer cancels a request that runs on it."""
         self._reusable = False
         self._sock.close()
 
@@ -159,9 +160,9 @@
         body: bytes,
         timeout: float,
     ) -> None:
-        """Send one whole request."""
-        self._incoming = _Incoming()
-        self._sent += 1
+        """Send one request with its body."""
+        self._response_parser = _ResponseParser()
+        self._request_count += 1
         lines = [f'{method} {target} HTTP/1.1']
         lines.extend(f'{name}: {text}' for name, text in headers)
         if body or method not in {'GET', 'DELETE'}:
@@ -171,37 +172,42 @@
         self._sock.sendall(head + body)
 
     def read_head(self, timeout: float) -> ResponseHead:
-        """Wait for the head of the next answer."""
-        answer = self._incoming.first
-        while answer.head is None:
-            if not self._fill(timeout):
-                raise BrokenAnswerError('closed before an answer')
-        if answer.head.status < _FINAL_STATUS:
-            self._incoming.drop_first()
+        """Read the head of the next final response; skip 1xx responses.
+
+        The timeout is for each read, in seconds.
+        """
+        response = self._response_parser.current
+        while response.head is None:
+            if not self._receive(timeout):
+                raise BrokenAnswerError(
+                    'peer closed the connection before sending a response'
+                )
+        if response.head.status < _MIN_FINAL_STATUS:
+            self._response_parser.drop_current()
             return self.read_head(timeout)
-        return answer.head
+        return response.head
 
     def read_parts(self, head: ResponseHead, timeout: float) -> Iterator[bytes]:
-        """Yield the body as it comes; timeout is for each part."""
-        answer = self._incoming.first
+        """Yield the body as it arrives; the timeout (s) is for each part."""
+        response = self._response_parser.current
         while True:
-            if answer.body:
-                part = b''.join(answer.body)
-                answer.body.clear()
+            if response.body:
+                part = b''.join(response.body)
+                response.body.clear()
                 yield part
-            if answer.complete:
+            if response.complete:
                 return
-            if not self._fill(timeout):
-                self._end_with_connection(head)
+            if not self._receive(timeout):
+                self._handle_end_of_stream(head)
                 return
 
     def skip_answer(self, head: ResponseHead, timeout: float) -> None:
-        """Read past an answer that belongs to an earlier request."""
+        """Discard a response that belongs to an earlier request."""
         self.read_rest(head, timeout)
-        self._incoming.drop_first()
+        self._response_parser.drop_current()
 
     def read_rest(self, head: ResponseHead, timeout: float) -> bytes:
-        """Read the rest of an answer."""
+        """Read the remaining body of a response."""
         return b''.join(self.read_parts(head, timeout))
 
     def request(
@@ -212,38 +218,44 @@
         body: bytes = b'',
         timeout: float = 5,
     ) -> Response:
-        """Send a request and read the whole answer."""
+        """Send a request and return the complete response."""
         self.send(method, target, headers, body, timeout)
         head = self.read_head(timeout)
-        whole = self.read_rest(head, timeout)
+        response_body = self.read_rest(head, timeout)
         if (head.find('connection') or '').lower() == 'close':
             self._reusable = False
-        return Response(head, whole)
+        return Response(head, response_body)
 
     def keep_no_longer(self) -> None:
-        """Use the connection for no further request."""
+        """Exclude the connection from use for further requests."""
         self._reusable = False
 
-    def _end_with_connection(self, head: ResponseHead) -> None:
+    def _handle_end_of_stream(self, head: ResponseHead) -> None:
         framed = head.find('content-length') or head.find('transfer-encoding')
-        if framed and head.status not in _NO_BODY:
-            raise BrokenAnswerError('closed within an answer')
-        self._incoming.first.complete = True
-
-    def _fill(self, timeout: float) -> bool:
-        self._sock.settimeout(max(timeout, _SHORTEST_WAIT))
+        if framed and head.status not in _STATUSES_WITHOUT_BODY:
+            raise BrokenAnswerError(
+                'peer closed the connection before the response was complete'
+            )
+        self._response_parser.current.complete = True
+
+    def _receive(self, timeout: float) -> bool:
+        self._sock.settimeout(max(timeout, _MIN_TIMEOUT_SECONDS))
         try:
             received = self._sock.recv(_READ_BYTES)
-        except TimeoutError as silent:
+        except TimeoutError as timed_out:
             self._reusable = False
-            raise SilentPeerError(f'silent for {timeout:.3f} s') from silent
+            raise SilentPeerError(
+                f'no data received for {timeout:.3f} s'
+            ) from timed_out
         if not received:
             self._reusable = False
             return False
         try:
-            self._incoming.feed(received)
+            self._response_parser.feed(received)
         except httptools.HttpParserError as error:
             self._reusable = False
-            if not self._incoming.first.complete:
-                raise BrokenAnswerError(f'no HTTP: {error}') from error
+            if not self._response_parser.current.complete:
+                raise BrokenAnswerError(
+                    f'invalid HTTP response: {error}'
+                ) from error
         return True
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
@@ -1,4 +1,4 @@
-"""What a client asks, and how it is answered."""
+"""Client requests and the writing of their responses."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -14,11 +14,14 @@
 
 
 class ServerEndsError(Exception):
-    """The process ends before an answer could be finished."""
+    """The process shuts down before the response is complete."""
 
 
 class Request(Struct):
-    """Hold one whole request of a client."""
+    """Complete request of a client.
+
+    ``received`` is the time of its last byte, in seconds of the server's clock.
+    """
 
     method: str
     target: str
@@ -29,12 +32,12 @@
 
     @property
     def path(self) -> str:
-        """Give the target without its query."""
+        """Request target without its query."""
         return self.target.partition('?')[0]
 
     @property
     def host(self) -> str:
-        """Give the host that the client named."""
+        """Value of the Host header, or an empty string."""
         for name, text in self.headers:
             if name.lower() == 'host':
                 return text
@@ -42,14 +45,14 @@
 
 
 class Responder:
-    """Write one answer to a client."""
+    """Writer for one response to a client."""
 
     def __init__(
         self, sock: socket.socket, keep_alive: bool, served_before: int = 0
     ) -> None:
         self._sock = sock
         self._keep_alive = keep_alive
-        #: Requests that the connection brought before this one.
+        #: Number of earlier requests on the same connection.
         self.served_before = served_before
         self._chunked = False
         self.started = False
@@ -57,17 +60,17 @@
 
     @property
     def keep_alive(self) -> bool:
-        """Tell whether the connection may serve another request."""
+        """Whether the connection may be used for another request."""
         return self._keep_alive and self.finished
 
     def close_after(self) -> None:
-        """Close the connection behind this answer."""
+        """Close the connection after this response."""
         self._keep_alive = False
 
     def answer(
         self, status: int, headers: Headers = (), body: bytes = b''
     ) -> None:
-        """Send a whole answer of our own."""
+        """Send a complete response."""
         reason = HTTPStatus(status).phrase
         self.started = True
         head = self._head(status, reason, headers)
@@ -82,7 +85,10 @@
         headers: Headers,
         length: int | None,
     ) -> None:
-        """Start an answer whose body follows in parts."""
+        """Send the head of a response whose body follows in parts.
+
+        The body is chunked if ``length`` is None.
+        """
         self.started = True
         head = self._head(status, reason, headers)
         self._chunked = length is None
@@ -101,13 +107,13 @@
         self._send(part)
 
     def finish(self) -> None:
-        """End the body; only now does the answer look complete."""
+        """Mark the end of the body, so that the response is complete."""
         if self._chunked:
             self._send(b'0\r\n\r\n')
         self.finished = True
 
     def abort(self) -> None:
-        """Leave the answer incomplete."""
+        """End the response incomplete and close the connection."""
         self._keep_alive = False
         self.finished = False
 
@@ -122,12 +128,12 @@
         head = '\r\n'.join([*lines, '', '']).encode('latin-1')
         self._send(head + body)
 
-    def _send(self, sent: bytes) -> None:
+    def _send(self, payload: bytes) -> None:
         try:
-            rest = memoryview(sent)
-            while rest:
-                # The time-out holds for each piece that the client takes.
-                rest = rest[self._sock.send(rest) :]
+            remaining = memoryview(payload)
+            while remaining:
+                # The timeout applies to each send, not to the whole payload.
+                remaining = remaining[self._sock.send(remaining) :]
         except OSError as error:
             raise ClientGoneError(str(error)) from error
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -1,4 +1,4 @@
-"""Accept connections and hand whole requests to a handler, one at a time."""
+"""HTTP server that handles the requests of a connection one at a time."""
 
 import contextlib
 import errno
@@ -26,17 +26,17 @@
 from bendlead_gateway.types import ClientLimits
 
 _READ_BYTES = 65_536
-#: A client that reads nothing for this long (s) loses its connection.
-_WRITE_SECONDS = 5
-#: A wait of nothing would mean a wait without end to the socket (s).
-_SHORTEST_WAIT = 0.001
-#: Pause after running out of descriptors (s).
-_ACCEPT_PAUSE = 0.05
+#: The connection is closed if the client reads nothing for this long.
+_WRITE_TIMEOUT_SECONDS = 5
+#: A socket timeout of 0 would make the socket non-blocking.
+_MIN_TIMEOUT_SECONDS = 0.001
+#: Pause after a failed accept, for example without free descriptors.
+_ACCEPT_RETRY_SECONDS = 0.05
 _RETRY_AFTER = (('Retry-After', '0.2'),)
 
 
 class _Connection:
-    """Serve one client connection."""
+    """One client connection."""
 
     def __init__(
         self,
@@ -51,162 +51,164 @@
         self._limits = limits
         self._now = now
         self._bodies = bodies
-        self._held = 0
-        self._answering = 0
+        self._buffered_bytes = 0
+        self._handled_body_bytes = 0
         self._parser = RequestParser(limits, now)
         self._task: gevent.Greenlet | None = None
         self._responder: Responder | None = None
         self._closing = False
-        self._served = 0
-        #: Since when the connection waits for the client's next request.
-        self.rested_since = now()
+        self._request_count = 0
+        #: Time at which the connection became idle.
+        self.idle_since = now()
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request is being received or answered."""
+        """Whether a request is being received or handled."""
         return bool(self._task or self._parser.whole or self._parser.begun)
 
     def run(self) -> None:
-        """Read until the client or an error ends the connection."""
+        """Read requests until the connection ends."""
         try:
             tune(self._sock)
             self._read_all()
         except OSError:
-            # The client is gone; nobody is left to tell.
+            # The client is gone, so no response can be sent.
             self._closing = True
         finally:
             if self._task is not None:
                 self._task.kill(block=False)
-            self._end()
+            self._release()
 
     def close_idle(self) -> None:
-        """Close the connection unless a request is under way."""
+        """Close the connection unless a request is in progress."""
         if not self.busy:
             self._closing = True
             self._sock.close()
 
     def close_after_answer(self) -> None:
-        """Say with the answer under way that it is the last, if it can."""
+        """Close after the current response, unless it has started."""
         if self._responder is not None and not self._responder.started:
             self._responder.close_after()
 
     def answer_unfinished(self) -> None:
-        """End the request under way with an answer if none has begun."""
+        """Abort the current request; respond if no response has started."""
         if self._task is not None:
             self._task.kill(ServerEndsError, block=False)
 
-    def _end(self) -> None:
-        self._bodies.held -= self._held
-        self._held = 0
+    def _release(self) -> None:
+        self._bodies.held -= self._buffered_bytes
+        self._buffered_bytes = 0
         self._sock.close()
 
     def _read_all(self) -> None:
         while not self._closing:
-            self._sock.settimeout(self._patience())
+            self._sock.settimeout(self._read_timeout())
             try:
                 received = self._sock.recv(_READ_BYTES)
             except TimeoutError:
-                if self._waits_on():
+                if self._keeps_waiting():
                     continue
                 return
-            if not received or not self._take(received):
+            if not received or not self._feed(received):
                 return
             self._start_next()
 
-    def _take(self, received: bytes) -> bool:
-        """Take what the client sent, or refuse it."""
+    def _feed(self, received: bytes) -> bool:
+        """Parse received bytes; return False if they were rejected."""
         try:
             self._parser.feed(received)
         except UnreadableRequestError as error:
-            self._refuse(error.status)
+            self._reject(error.status)
             return False
-        self._count_held()
-        # What is being answered is no reason to end: it may have run.
+        self._update_buffered_bytes()
+        # A request that is being handled may have run, so it is not aborted.
         if self._bodies.over and self._task is None:
-            # Nothing of it was begun; others have memory for it.
-            self._refuse(HTTPStatus.SERVICE_UNAVAILABLE)
+            # The request was not started, so the client may retry it.
+            self._reject(HTTPStatus.SERVICE_UNAVAILABLE)
             return False
         return True
 
-    def _count_held(self) -> None:
-        held = self._parser.held + self._answering
-        self._bodies.held += held - self._held
-        self._held = held
+    def _update_buffered_bytes(self) -> None:
+        buffered = self._parser.held + self._handled_body_bytes
+        self._bodies.held += buffered - self._buffered_bytes
+        self._buffered_bytes = buffered
 
-    def _waits_on(self) -> bool:
-        """Tell whether a client that sent nothing for long is waited for."""
+    def _keeps_waiting(self) -> bool:
+        """Return whether to go on reading after a read timeout."""
         if self._task is not None:
             return True
         if self._parser.begun:
-            self._refuse(HTTPStatus.REQUEST_TIMEOUT)
+            self._reject(HTTPStatus.REQUEST_TIMEOUT)
             return False
-        # The wait may have begun before the latest answer ended.
-        return self._rest_left() > 0
+        # The read may have started before the latest response ended.
+        return self._idle_seconds_left() > 0
 
-    def _patience(self) -> float:
+    def _read_timeout(self) -> float:
         if self._task is not None:
             return self._limits.idle_seconds
         if self._parser.begun:
             return self._limits.header_seconds
-        return max(self._rest_left(), _SHORTEST_WAIT)
+        return max(self._idle_seconds_left(), _MIN_TIMEOUT_SECONDS)
 
-    def _rest_left(self) -> float:
-        return self.rested_since + self._limits.idle_seconds - self._now()
+    def _idle_seconds_left(self) -> float:
+        return self.idle_since + self._limits.idle_seconds - self._now()
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         if self._task is None:
             responder = Responder(self._sock, keep_alive=False)
-            retry = status == HTTPStatus.SERVICE_UNAVAILABLE
-            responder.answer(status, _RETRY_AFTER if retry else ())
+            retryable = status == HTTPStatus.SERVICE_UNAVAILABLE
+            responder.answer(status, _RETRY_AFTER if retryable else ())
 
     def _start_next(self) -> None:
-        whole = self._parser.whole
-        if self._task is None and whole and not self._closing:
-            request = whole.popleft()
-            self._answering = len(request.body)
-            self._task = gevent.spawn(self._answer, request)
-
-    def _answer(self, request: Request) -> None:
-        self._sock.settimeout(_WRITE_SECONDS)
-        responder = Responder(self._sock, request.keep_alive, self._served)
-        self._served += 1
+        requests = self._parser.whole
+        if self._task is None and requests and not self._closing:
+            request = requests.popleft()
+            self._handled_body_bytes = len(request.body)
+            self._task = gevent.spawn(self._handle_request, request)
+
+    def _handle_request(self, request: Request) -> None:
+        self._sock.settimeout(_WRITE_TIMEOUT_SECONDS)
+        responder = Responder(
+            self._sock, request.keep_alive, self._request_count
+        )
+        self._request_count += 1
         self._responder = responder
         try:
-            self._answer_or_end(request, responder)
+            self._run_handler(request, responder)
         except ClientGoneError:
             responder.abort()
         finally:
-            # Whatever the handler failed with, its client must not wait on.
-            self._conclude(responder)
+            # On an unexpected error, too, the client must not wait on.
+            self._finish_request(responder)
         self._start_next()
 
-    def _conclude(self, responder: Responder) -> None:
+    def _finish_request(self, responder: Responder) -> None:
         self._task = None
         self._responder = None
-        self._answering = 0
-        if self._held:
-            self._count_held()
-        self.rested_since = self._now()
+        self._handled_body_bytes = 0
+        if self._buffered_bytes:
+            self._update_buffered_bytes()
+        self.idle_since = self._now()
         if not responder.keep_alive:
             self._closing = True
-            # The client may have closed first.
+            # The client may have closed the connection already.
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
-    def _answer_or_end(self, request: Request, responder: Responder) -> None:
+    def _run_handler(self, request: Request, responder: Responder) -> None:
         try:
             self._handler(request, responder)
         except ServerEndsError:
             if responder.started:
                 responder.abort()
                 return
-            # An engine may have it, so nothing is promised.
+            # An engine may run the request, so its outcome is unknown.
             responder.close_after()
             responder.answer(HTTPStatus.GATEWAY_TIMEOUT)
 
 
 class HttpServer:
-    """Listen on one address; one task for each connection."""
+    """HTTP server on one address, with a greenlet per connection."""
 
     def __init__(
         self,
@@ -214,51 +216,51 @@
         handler: Handler,
         limits: Callable[[], ClientLimits],
         now: Callable[[], float],
-        most: int = 1_000_000,
+        max_connections: int = 1_000_000,
     ) -> None:
         self._sock = listen(address)
         self._handler = handler
         self._limits = limits
         self._now = now
-        self._most = most
-        self._open: set[_Connection] = set()
-        #: The bodies that all connections hold together.
+        self._max_connections = max_connections
+        self._connections: set[_Connection] = set()
+        #: Bodies buffered by all connections.
         self.bodies = BodyBudget()
-        #: Is told what kept a client from being taken.
-        self.on_trouble: Callable[[str], None] = _tell_nobody
+        #: Called with the reason if a connection could not be accepted.
+        self.on_trouble: Callable[[str], None] = _ignore_reason
 
     @property
     def busy(self) -> int:
-        """Count the connections with a request under way."""
-        return sum(1 for one in self._open if one.busy)
+        """Number of connections with a request in progress."""
+        return sum(1 for connection in self._connections if connection.busy)
 
     @property
     def used(self) -> float:
-        """Give the part of all connections there may be that are busy."""
-        return self.busy / self._most
+        """Busy connections as a share of the connection limit."""
+        return self.busy / self._max_connections
 
     def start(self) -> None:
-        """Accept connections from now on."""
+        """Start to accept connections."""
         gevent.spawn(self._accept)
 
     def stop_accepting(self) -> None:
-        """Take no new connections; those that are open stay."""
+        """Stop accepting connections; open ones stay open."""
         self._sock.close()
 
     def close_idle(self) -> None:
-        """Close the connections without a request."""
-        for one in list(self._open):
-            one.close_idle()
+        """Close all connections without a request in progress."""
+        for connection in list(self._connections):
+            connection.close_idle()
 
     def close_after_answers(self) -> None:
-        """Say with all answers that have not begun that they are the last."""
-        for one in list(self._open):
-            one.close_after_answer()
+        """Close each connection after its current response, if not started."""
+        for connection in list(self._connections):
+            connection.close_after_answer()
 
     def answer_unfinished(self) -> None:
-        """End all requests under way, with an answer where none has begun."""
-        for one in list(self._open):
-            one.answer_unfinished()
+        """Abort all requests; respond to those without a started response."""
+        for connection in list(self._connections):
+            connection.answer_unfinished()
 
     def _accept(self) -> None:
         while True:
@@ -267,40 +269,49 @@
             except OSError as error:
                 if error.errno == errno.EBADF:
                     return
-                self.on_trouble(f'accept: {error}')
-                gevent.sleep(_ACCEPT_PAUSE)
+                self.on_trouble(f'accepting a connection failed: {error}')
+                gevent.sleep(_ACCEPT_RETRY_SECONDS)
                 continue
-            if self._make_room():
-                self._take(sock)
+            if self._ensure_capacity():
+                self._add_connection(sock)
             else:
-                self.on_trouble(f'{self._most} connections are busy')
+                self.on_trouble(
+                    f'all {self._max_connections} connections are busy'
+                )
                 sock.close()
 
-    def _take(self, sock: socket.socket) -> None:
+    def _add_connection(self, sock: socket.socket) -> None:
         connection = _Connection(
             sock, self._handler, self._limits(), self._now, self.bodies
         )
-        self._open.add(connection)
+        self._connections.add(connection)
         gevent.spawn(self._serve, connection)
 
-    def _make_room(self) -> bool:
-        """Close the connection that rested longest if there are too many."""
-        if len(self._open) < self._most:
+    def _ensure_capacity(self) -> bool:
+        """Close the longest idle connection if the limit is reached.
+
+        Return False if the limit is reached and all connections are busy.
+        """
+        if len(self._connections) < self._max_connections:
             return True
-        resting = [one for one in self._open if not one.busy]
-        if not resting:
+        idle = [
+            connection
+            for connection in self._connections
+            if not connection.busy
+        ]
+        if not idle:
             return False
-        longest = min(resting, key=attrgetter('rested_since'))
-        self._open.discard(longest)
-        longest.close_idle()
+        longest_idle = min(idle, key=attrgetter('idle_since'))
+        self._connections.discard(longest_idle)
+        longest_idle.close_idle()
         return True
 
     def _serve(self, connection: _Connection) -> None:
         try:
             connection.run()
         finally:
-            self._open.discard(connection)
+            self._connections.discard(connection)
 
 
-def _tell_nobody(_trouble: str) -> None:
-    """Take what nobody asked to be told."""
+def _ignore_reason(_reason: str) -> None:
+    """Ignore the reason of a failed accept."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/sockets.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/sockets.py
@@ -1,37 +1,39 @@
-"""TCP sockets that notice within seconds that their peer is gone."""
+"""TCP sockets that detect an unreachable peer within seconds."""
 
 import socket as constants
 
 from gevent import socket
 
-#: Unacknowledged bytes end a connection after this long (ms). A silent
-#: engine is given up well within a client's deadline of some seconds.
+#: Short enough to leave time for a retry within a client's deadline.
 _USER_TIMEOUT_MS = 1200
-#: Idle seconds before the first keep-alive probe, and between probes.
+#: Idle time before the first keep-alive probe, and between probes.
 _PROBE_SECONDS = 1
-_PROBES = 2
+_PROBE_COUNT = 2
 _BACKLOG = 1024
 
 
 def tune(sock: socket.socket) -> None:
-    """Make a connected socket fail soon after its peer falls silent."""
+    """Set short keep-alive and retransmission timeouts on a socket."""
     level = constants.IPPROTO_TCP
     sock.setsockopt(level, constants.TCP_NODELAY, 1)
     sock.setsockopt(level, constants.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
     sock.setsockopt(constants.SOL_SOCKET, constants.SO_KEEPALIVE, 1)
     sock.setsockopt(level, constants.TCP_KEEPIDLE, _PROBE_SECONDS)
     sock.setsockopt(level, constants.TCP_KEEPINTVL, _PROBE_SECONDS)
-    sock.setsockopt(level, constants.TCP_KEEPCNT, _PROBES)
+    sock.setsockopt(level, constants.TCP_KEEPCNT, _PROBE_COUNT)
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split IP:PORT."""
+    """Split an address of the form IP:PORT."""
     host, port = address.rsplit(':', 1)
     return host, int(port)
 
 
 def connect(address: str, timeout: float) -> socket.socket:
-    """Open a connection, or raise OSError."""
+    """Open a connection; the timeout is in seconds.
+
+    Raise OSError if it fails.
+    """
     sock = socket.socket(constants.AF_INET, constants.SOCK_STREAM)
     sock.settimeout(timeout)
     try:
@@ -44,7 +46,7 @@
 
 
 def listen(address: str | constants.socket) -> socket.socket:
-    """Open a listening socket, or take one that listens already."""
+    """Open a listening socket, or wrap one that is listening already."""
     if isinstance(address, constants.socket):
         return socket.socket(fileno=address.detach())
     sock = socket.socket(constants.AF_INET, constants.SOCK_STREAM)
--- a/packages/bendlead-gateway/src/bendlead_gateway/http.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/http.py
@@ -1,4 +1,4 @@
-"""The HTTP/1.1 connection that the gateway and its adapters share."""
+"""HTTP/1.1 client shared by the gateway and its platform adapters."""
 
 from bendlead_gateway._http.client import (
     BrokenAnswerError,
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -217,7 +217,7 @@
         client.settimeout(3)
         client.sendall(_FIRST)
         count = 0
-        with mock.patch.object(server_module, '_WRITE_SECONDS', 2):
+        with mock.patch.object(server_module, '_WRITE_TIMEOUT_SECONDS', 2):
             while count < len(body) and (part := client.recv(100_000)):
                 count += len(part)
                 gevent.sleep(0.025)
