--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -276,7 +276,7 @@
                 self._add_connection(sock)
             else:
                 self.on_trouble(
-                    f'all {self._max_connections} connections are busy'
+                    f'{self._max_connections} connections, the limit, are busy'
                 )
                 sock.close()
 
--- a/tests/test_gateway_client.py
+++ b/tests/test_gateway_client.py
@@ -1,4 +1,4 @@
-"""The connection that the gateway uses towards engines and peers."""
+"""HTTP client connections to engines and peers."""
 
 import unittest
 
@@ -8,41 +8,41 @@
 
 from tests.gateway_standins import ScriptedPeer, chunked
 
-_OWN = 'X-Answer: own\r\n'
-_EARLIER = 'X-Answer: earlier\r\n'
-_PLAIN = 'HTTP/1.1 200 OK\r\n%sContent-Length: 4\r\n\r\nbody'
+_EXPECTED_HEADER = 'X-Answer: own\r\n'
+_EARLIER_HEADER = 'X-Answer: earlier\r\n'
+_RESPONSE = 'HTTP/1.1 200 OK\r\n%sContent-Length: 4\r\n\r\nbody'
 
 
-class SurplusAnswerTest(unittest.TestCase):
-    """An answer to an earlier request arrives in the slot of the next."""
+class LateResponseTest(unittest.TestCase):
+    """A late response to an earlier request precedes the expected one."""
 
     @parameterized.expand(
         [
             (
-                'apart',
+                'separate',
                 [
-                    chunked(b'old', headers=_EARLIER),
-                    chunked(b'new', headers=_OWN),
+                    chunked(b'old', headers=_EARLIER_HEADER),
+                    chunked(b'new', headers=_EXPECTED_HEADER),
                 ],
             ),
             (
                 'together',
                 [
-                    chunked(b'old', headers=_EARLIER)
-                    + chunked(b'new', headers=_OWN)
+                    chunked(b'old', headers=_EARLIER_HEADER)
+                    + chunked(b'new', headers=_EXPECTED_HEADER)
                 ],
             ),
             (
-                'own_begins_in_the_same_bytes',
+                'expected_starts_in_same_read',
                 [
-                    chunked(b'old', headers=_EARLIER)
-                    + chunked(b'ne', headers=_OWN, last=False),
+                    chunked(b'old', headers=_EARLIER_HEADER)
+                    + chunked(b'ne', headers=_EXPECTED_HEADER, last=False),
                     b'1\r\nw\r\n0\r\n\r\n',
                 ],
             ),
         ],
     )
-    def test_own_answer_is_read_whole(self, _name, pieces):
+    def test_expected_response_is_complete(self, _name, pieces):
         def script(sock):
             peer.read_request(sock)
             for piece in pieces:
@@ -61,24 +61,24 @@
         self.assertEqual(b'new', b''.join(connection.read_parts(head, 1)))
 
 
-class EndOfAnswerTest(unittest.TestCase):
-    """An answer that ends early must not look complete."""
+class EndOfResponseTest(unittest.TestCase):
+    """A truncated response must not be taken as complete."""
 
     @parameterized.expand(
         [
-            ('chunked_cut', chunked(b'half', last=False), None),
+            ('chunked_truncated', chunked(b'half', last=False), None),
             (
-                'length_cut',
+                'length_truncated',
                 b'HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf',
                 None,
             ),
-            ('no_http', b'garbage\r\n\r\n', None),
+            ('invalid_http', b'garbage\r\n\r\n', None),
             ('unframed', b'HTTP/1.1 200 OK\r\n\r\nwhole', b'whole'),
-            ('framed', chunked(b'whole'), b'whole'),
-            ('bytes_behind', chunked(b'whole') + b'junk', b'whole'),
+            ('chunked', chunked(b'whole'), b'whole'),
+            ('trailing_bytes', chunked(b'whole') + b'junk', b'whole'),
         ],
     )
-    def test_ends(self, _name, sent, expected):
+    def test_end(self, _name, sent, expected):
         def script(sock):
             peer.read_request(sock)
             sock.sendall(sent)
@@ -96,10 +96,10 @@
         head = connection.read_head(1)
         self.assertEqual(expected, b''.join(connection.read_parts(head, 1)))
 
-    def test_bytes_behind_make_it_unusable(self):
+    def test_trailing_bytes_prevent_reuse(self):
         def script(sock):
             peer.read_request(sock)
-            sock.sendall((_PLAIN % _OWN).encode() * 2)
+            sock.sendall((_RESPONSE % _EXPECTED_HEADER).encode() * 2)
             gevent.sleep(0.2)
 
         peer = ScriptedPeer([script])
--- a/tests/test_gateway_server.py
+++ b/tests/test_gateway_server.py
@@ -1,4 +1,4 @@
-"""The server's side of connections: one answer after another, then an end."""
+"""HTTP server: connections, timeouts and the connection limit."""
 
 import errno
 import time
@@ -19,7 +19,7 @@
 
 
 class ConnectionTest(unittest.TestCase):
-    """Start a server whose handler keeps what it was given."""
+    """A connection that is closed after its first response."""
 
     def setUp(self):
         self.handled = []
@@ -33,8 +33,8 @@
         self.client = socket.create_connection((host, int(port)))
         self.addCleanup(self.client.close)
 
-    def test_nothing_is_handled_behind_the_last_answer(self):
-        """Who can't be answered any more must not be served."""
+    def test_no_request_is_handled_after_the_last_response(self):
+        """A pipelined request that cannot be answered must not be handled."""
         self.client.sendall(_FIRST + _SECOND)
         self.client.settimeout(1)
         received = b''
@@ -49,15 +49,15 @@
         responder.answer(200)
 
 
-class RestTest(unittest.TestCase):
-    """A kept connection rests between an answer and the next request."""
+class IdleTimeoutTest(unittest.TestCase):
+    """Timeout of an idle keep-alive connection."""
 
-    def test_rest_counts_from_the_answer(self):
-        """However long the answer took, the client may rest in full."""
+    def test_timeout_starts_at_the_response(self):
+        """Time spent on a slow response must not count as idle time."""
         limits = ClientLimits(idle_seconds=1.0)
         address = f'127.0.0.1:{free_port()}'
         server = HttpServer(
-            address, self._answer_late, lambda: limits, time.monotonic
+            address, self._respond_slowly, lambda: limits, time.monotonic
         )
         server.start()
         self.addCleanup(server.stop_accepting)
@@ -70,23 +70,23 @@
         gevent.sleep(0.5)
         client.sendall(_SECOND)
         self.assertIn(b'HTTP/1.1 200', client.recv(4096))
-        # What has rested for its time is closed all the same.
+        # The idle timeout still closes the connection.
         self.assertEqual(b'', client.recv(4096))
 
-    def _answer_late(self, _request, responder):
+    def _respond_slowly(self, _request, responder):
         gevent.sleep(0.8)
         responder.answer(200)
 
 
-class ClientLeavesTest(unittest.TestCase):
-    """A client closes in the moment in which its first answer ends."""
+class ClientDisconnectTest(unittest.TestCase):
+    """A client disconnects at the moment its first response ends."""
 
-    @parameterized.expand([('client_first', True), ('answer_first', False)])
+    @parameterized.expand([('client_first', True), ('response_first', False)])
     def test_next_request_is_not_handled(self, _name, client_first):
         for _repeat in range(10):
-            self._leave(client_first)
+            self._disconnect(client_first)
 
-    def _leave(self, client_first):
+    def _disconnect(self, client_first):
         handled = []
         inner, outer = socket.socketpair()
 
@@ -112,7 +112,7 @@
 
 
 class FailingHandlerTest(unittest.TestCase):
-    """A request whose handler fails must not hold its client."""
+    """A failed handler must not leave its client waiting."""
 
     def test_connection_ends(self):
         def answer(_request, _responder):
@@ -131,23 +131,23 @@
 
 
 class AcceptTest(unittest.TestCase):
-    """A server that is up goes on taking connections."""
+    """Accepting connections after errors and at the connection limit."""
 
-    def start(self, most=1_000_000):
-        """Start a server that answers at once."""
+    def start(self, max_connections=1_000_000):
+        """Create a server that responds immediately."""
         address = f'127.0.0.1:{free_port()}'
         self.server = HttpServer(
             address,
             lambda _request, responder: responder.answer(200),
             lambda: _LIMITS,
             time.monotonic,
-            most,
+            max_connections,
         )
         host, port = address.split(':')
         self.address = host, int(port)
 
-    def ask(self):
-        """Send a request on a new connection and read its answer."""
+    def get(self):
+        """Send a request on a new connection; return it and the response."""
         client = socket.create_connection(self.address, 1)
         self.addCleanup(client.close)
         client.sendall(_FIRST)
@@ -158,46 +158,46 @@
         [
             ('no_descriptors', errno.EMFILE),
             ('no_memory', errno.ENOBUFS),
-            ('peer_left', errno.ECONNABORTED),
+            ('peer_disconnected', errno.ECONNABORTED),
         ]
     )
-    def test_goes_on_after(self, _name, number):
+    def test_accepts_after_error(self, _name, number):
         self.start()
         listener = self.server._sock
         failures = [OSError(number, 'scripted')] * 3
 
         class Listener:
-            """Fail a few times before taking connections."""
+            """Listener whose first calls of accept fail."""
 
             def accept(self):
-                """Accept, or raise."""
+                """Raise a scripted error or accept a connection."""
                 if failures:
                     raise failures.pop()
                 return listener.accept()
 
         self.server._sock = Listener()
         self.server.start()
-        _client, answer = self.ask()
-        self.assertIn(b'HTTP/1.1 200', answer)
+        _client, response = self.get()
+        self.assertIn(b'HTTP/1.1 200', response)
         listener.close()
 
-    def test_rested_connections_make_room(self):
-        """Clients keep connections that they do not use at the moment."""
-        self.start(most=2)
+    def test_idle_connection_is_closed_at_the_limit(self):
+        """Idle connections must not use up the connection limit."""
+        self.start(max_connections=2)
         self.server.start()
-        kept = [self.ask()[0] for _number in range(2)]
-        _client, answer = self.ask()
-        self.assertIn(b'HTTP/1.1 200', answer)
+        kept = [self.get()[0] for _number in range(2)]
+        _client, response = self.get()
+        self.assertIn(b'HTTP/1.1 200', response)
         self.assertEqual(b'', kept[0].recv(1))
         kept[1].sendall(_FIRST)
         self.assertIn(b'HTTP/1.1 200', kept[1].recv(4096))
 
 
 class SlowReaderTest(unittest.TestCase):
-    """A client that reads slowly gets the whole answer."""
+    """A client that reads slowly gets the complete response."""
 
-    def test_reader_that_goes_on(self):
-        """The limit is for reading nothing, not for the whole answer."""
+    def test_timeout_applies_to_each_write(self):
+        """The write timeout must not limit the time for the whole response."""
         body = b'x' * 16_000_000
         address = f'127.0.0.1:{free_port()}'
         server = HttpServer(
@@ -211,7 +211,7 @@
         host, port = address.split(':')
         client = socket.socket()
         self.addCleanup(client.close)
-        # Small, so that the server has to wait for the reader.
+        # A small buffer, so that the server has to wait for the reader.
         client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65_536)
         client.connect((host, int(port)))
         client.settimeout(3)
