--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/failure_kinds.py
@@ -4,7 +4,7 @@
 from http import HTTPStatus
 
 from bendlead_gateway._health.observation import FailureKind
-from bendlead_gateway._http.client import SilentPeerError
+from bendlead_gateway._http.client import ResponseTimeoutError
 
 #: Local resource or network errors, which are not the engine's fault.
 _LOCAL_ERRNOS = frozenset(
@@ -25,7 +25,7 @@
         return None
     if isinstance(error, ConnectionRefusedError):
         return FailureKind.REFUSED
-    if isinstance(error, TimeoutError | SilentPeerError):
+    if isinstance(error, TimeoutError | ResponseTimeoutError):
         return FailureKind.SILENT
     return FailureKind.BROKEN
 
@@ -49,6 +49,6 @@
     A request that is retried on another engine before its deadline may only
     have been slow to start.
     """
-    if not isinstance(error, SilentPeerError):
+    if not isinstance(error, ResponseTimeoutError):
         return FailureKind.BROKEN
     return FailureKind.SLOW if replaced else FailureKind.SILENT
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
@@ -17,11 +17,11 @@
 _MIN_TIMEOUT_SECONDS = 0.001
 
 
-class BrokenAnswerError(OSError):
+class ResponseError(OSError):
     """The peer's response ended early or is not valid HTTP."""
 
 
-class SilentPeerError(BrokenAnswerError):
+class ResponseTimeoutError(ResponseError):
     """The peer sent nothing within the timeout."""
 
 
@@ -179,7 +179,7 @@
         response = self._response_parser.current
         while response.head is None:
             if not self._receive(timeout):
-                raise BrokenAnswerError(
+                raise ResponseError(
                     'peer closed the connection before sending a response'
                 )
         if response.head.status < _MIN_FINAL_STATUS:
@@ -233,7 +233,7 @@
     def _handle_end_of_stream(self, head: ResponseHead) -> None:
         framed = head.find('content-length') or head.find('transfer-encoding')
         if framed and head.status not in _STATUSES_WITHOUT_BODY:
-            raise BrokenAnswerError(
+            raise ResponseError(
                 'peer closed the connection before the response was complete'
             )
         self._response_parser.current.complete = True
@@ -244,7 +244,7 @@
             received = self._sock.recv(_READ_BYTES)
         except TimeoutError as timed_out:
             self._reusable = False
-            raise SilentPeerError(
+            raise ResponseTimeoutError(
                 f'no data received for {timeout:.3f} s'
             ) from timed_out
         if not received:
@@ -255,7 +255,7 @@
         except httptools.HttpParserError as error:
             self._reusable = False
             if not self._response_parser.current.complete:
-                raise BrokenAnswerError(
+                raise ResponseError(
                     f'invalid HTTP response: {error}'
                 ) from error
         return True
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
@@ -9,11 +9,11 @@
 from bendlead_gateway.types import Headers
 
 
-class ClientGoneError(OSError):
+class ClientDisconnectedError(OSError):
     """The client closed its connection."""
 
 
-class ServerEndsError(Exception):
+class ServerShutdownError(Exception):
     """The process shuts down before the response is complete."""
 
 
@@ -135,7 +135,7 @@
                 # The timeout applies to each send, not to the whole payload.
                 remaining = remaining[self._sock.send(remaining) :]
         except OSError as error:
-            raise ClientGoneError(str(error)) from error
+            raise ClientDisconnectedError(str(error)) from error
 
 
 Handler = Callable[[Request, Responder], None]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/parsing.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/parsing.py
@@ -11,7 +11,7 @@
 from bendlead_gateway.types import ClientLimits
 
 
-class UnreadableRequestError(Exception):
+class InvalidRequestError(Exception):
     """A client sent an invalid request or exceeded a size limit.
 
     ``status`` is the HTTP status to respond with.
@@ -52,19 +52,19 @@
         )
 
     def feed(self, received: bytes) -> None:
-        """Parse received bytes, or raise UnreadableRequestError."""
+        """Parse received bytes, or raise InvalidRequestError."""
         if not self.begun:
             self.begun = self._now()
         try:
             self._parser.feed_data(received)
         except httptools.HttpParserUpgrade as error:
-            raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
+            raise InvalidRequestError(HTTPStatus.BAD_REQUEST) from error
         except httptools.HttpParserError as error:
             # httptools replaces an exception of a callback by its own.
             cause = error.__context__
-            if isinstance(cause, UnreadableRequestError):
+            if isinstance(cause, InvalidRequestError):
                 raise cause from error
-            raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
+            raise InvalidRequestError(HTTPStatus.BAD_REQUEST) from error
 
     def on_message_begin(self) -> None:
         """Start a new request."""
@@ -85,7 +85,7 @@
         """Store a part of the body; raise if it exceeds the size limit."""
         self._partial.body_bytes += len(part)
         if self._partial.body_bytes > self._limits.body_bytes:
-            raise UnreadableRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+            raise InvalidRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         self._partial.body.append(part)
 
     def on_message_complete(self) -> None:
@@ -106,6 +106,6 @@
     def _count_header(self, size: int) -> None:
         self._partial.header_bytes += size
         if self._partial.header_bytes > self._limits.header_bytes:
-            raise UnreadableRequestError(
+            raise InvalidRequestError(
                 HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
             )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -12,15 +12,15 @@
 
 from bendlead_gateway._http.body_budget import BodyBudget
 from bendlead_gateway._http.messages import (
-    ClientGoneError,
+    ClientDisconnectedError,
     Handler,
     Request,
     Responder,
-    ServerEndsError,
+    ServerShutdownError,
 )
 from bendlead_gateway._http.parsing import (
+    InvalidRequestError,
     RequestParser,
-    UnreadableRequestError,
 )
 from bendlead_gateway._http.sockets import listen, tune
 from bendlead_gateway.types import ClientLimits
@@ -93,7 +93,7 @@
     def answer_unfinished(self) -> None:
         """Abort the current request; respond if no response has started."""
         if self._task is not None:
-            self._task.kill(ServerEndsError, block=False)
+            self._task.kill(ServerShutdownError, block=False)
 
     def _release(self) -> None:
         self._bodies.held -= self._buffered_bytes
@@ -117,7 +117,7 @@
         """Parse received bytes; return False if they were rejected."""
         try:
             self._parser.feed(received)
-        except UnreadableRequestError as error:
+        except InvalidRequestError as error:
             self._reject(error.status)
             return False
         self._update_buffered_bytes()
@@ -175,7 +175,7 @@
         self._responder = responder
         try:
             self._run_handler(request, responder)
-        except ClientGoneError:
+        except ClientDisconnectedError:
             responder.abort()
         finally:
             # On an unexpected error, too, the client must not wait on.
@@ -198,7 +198,7 @@
     def _run_handler(self, request: Request, responder: Responder) -> None:
         try:
             self._handler(request, responder)
-        except ServerEndsError:
+        except ServerShutdownError:
             if responder.started:
                 responder.abort()
                 return
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -13,12 +13,15 @@
 )
 from bendlead_gateway._health.observation import FailureKind
 from bendlead_gateway._http.client import (
-    BrokenAnswerError,
     HttpConnection,
+    ResponseError,
     ResponseHead,
-    SilentPeerError,
+    ResponseTimeoutError,
+)
+from bendlead_gateway._http.messages import (
+    ClientDisconnectedError,
+    ServerShutdownError,
 )
-from bendlead_gateway._http.messages import ClientGoneError, ServerEndsError
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._online.exchange import Choice, Exchange
@@ -39,9 +42,9 @@
 
 #: Raised into an attempt whose response is no longer needed.
 _ABANDONED = (
-    ClientGoneError,
+    ClientDisconnectedError,
     DeadlineError,
-    ServerEndsError,
+    ServerShutdownError,
     gevent.GreenletExit,
 )
 #: Longest read of a refusal's body so that the connection can be reused.
@@ -155,7 +158,7 @@
             return self._read_own_head(exchange, connection, timeout)
         except OSError as error:
             connection.keep_no_longer()
-            silent = isinstance(error, SilentPeerError)
+            silent = isinstance(error, ResponseTimeoutError)
             if silent and reused:
                 # Other idle connections may be dead as well.
                 self._fleet.pool.forget_all()
@@ -230,7 +233,7 @@
     ) -> None:
         try:
             connection.read_rest(head, _REFUSAL_READ_SECONDS)
-        except BrokenAnswerError:
+        except ResponseError:
             # The refusal is valid; only the connection cannot be reused.
             connection.keep_no_longer()
 
@@ -246,7 +249,7 @@
             relay.relay(head)
         except (BrokenStreamError, UnknownOutcomeError) as broken:
             connection.close()
-            silent = isinstance(broken.__cause__, SilentPeerError)
+            silent = isinstance(broken.__cause__, ResponseTimeoutError)
             paused = self._health.failed(engine.engine, unreachable=silent)
             self._log_failure(engine, Step.BODY, broken, paused)
             self._shared.record_failure(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -8,10 +8,10 @@
 from bendlead_gateway._fleet.balancer import pick_service
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._http.messages import (
-    ClientGoneError,
+    ClientDisconnectedError,
     Request,
     Responder,
-    ServerEndsError,
+    ServerShutdownError,
 )
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
@@ -97,10 +97,10 @@
         outcome = 'client_gone'
         try:
             outcome = self._serve_until_deadline(exchange)
-        except ClientGoneError:
+        except ClientDisconnectedError:
             # There is no client to answer.
             outcome = 'client_gone'
-        except ServerEndsError:
+        except ServerShutdownError:
             # The server answers the client.
             outcome = 'process_ends'
             raise
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -7,8 +7,8 @@
 
 from bendlead_gateway._fleet.fleet import Fleet
 from bendlead_gateway._http.client import (
-    BrokenAnswerError,
     HttpConnection,
+    ResponseError,
     ResponseHead,
 )
 from bendlead_gateway._online.events import EventSplitter, StreamEvent
@@ -95,7 +95,7 @@
         try:
             for part in self._parts(head, exchange.read_timeout):
                 exchange.responder.write(part)
-        except BrokenAnswerError as error:
+        except ResponseError as error:
             raise BrokenStreamError(str(error)) from error
         exchange.responder.finish()
 
@@ -104,7 +104,7 @@
         exchange = self._exchange
         try:
             body = b''.join(self._parts(head, exchange.read_timeout))
-        except BrokenAnswerError as error:
+        except ResponseError as error:
             raise UnknownOutcomeError(
                 f'incomplete response: {error}'
             ) from error
@@ -123,7 +123,7 @@
                 head, max(_MIN_SILENCE_SECONDS, silence_seconds)
             ):
                 self._write_events(list(splitter.feed(part)))
-        except BrokenAnswerError as error:
+        except ResponseError as error:
             raise BrokenStreamError(str(error)) from error
         if splitter.remainder:
             raise BrokenStreamError('response ended within an event')
@@ -139,9 +139,9 @@
     def _check_order(self, number: int | None) -> None:
         previous = self._exchange.last_event
         if number is None:
-            raise BrokenAnswerError('event without an event number')
+            raise ResponseError('event without an event number')
         if previous is not None and number != previous + 1:
-            raise BrokenAnswerError(
+            raise ResponseError(
                 f'event {number} received after event {previous}'
             )
         self._exchange.last_event = number
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -7,7 +7,7 @@
 from bendlead_store import clock
 from gevent.event import AsyncResult
 
-from bendlead_gateway._http.messages import ServerEndsError
+from bendlead_gateway._http.messages import ServerShutdownError
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._online.exchange import Exchange
 from bendlead_gateway._scheduling.queue_policy import (
@@ -118,7 +118,7 @@
         self._start_releasing(service)
         try:
             reason = self._results[queued].get()
-        except ServerEndsError:
+        except ServerShutdownError:
             # No engine has run it, so it can be refused.
             reason = 'process is stopping'
         finally:
--- a/packages/bendlead-gateway/src/bendlead_gateway/http.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/http.py
@@ -1,17 +1,17 @@
 """HTTP/1.1 client shared by the gateway and its platform adapters."""
 
 from bendlead_gateway._http.client import (
-    BrokenAnswerError,
     HttpConnection,
     Response,
+    ResponseError,
     ResponseHead,
-    SilentPeerError,
+    ResponseTimeoutError,
 )
 
 __all__ = (
-    'BrokenAnswerError',
     'HttpConnection',
     'Response',
+    'ResponseError',
     'ResponseHead',
-    'SilentPeerError',
+    'ResponseTimeoutError',
 )
--- a/testing/src/bendlead_testing/platform_store.py
+++ b/testing/src/bendlead_testing/platform_store.py
@@ -13,7 +13,11 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 import gevent
-from bendlead_gateway._http.messages import ClientGoneError, Request, Responder
+from bendlead_gateway._http.messages import (
+    ClientDisconnectedError,
+    Request,
+    Responder,
+)
 from bendlead_gateway._http.server import HttpServer
 from bendlead_gateway.types import ClientLimits
 from gevent.event import Event
@@ -139,7 +143,7 @@
         elif trouble is Trouble.LIMITED:
             responder.answer(429, [('Retry-After', '0.05')])
         elif trouble is Trouble.CUT:
-            raise ClientGoneError('cut')
+            raise ClientDisconnectedError('cut')
         elif trouble is Trouble.SILENT:
             _say_nothing()
         elif writes and trouble is Trouble.LOST_ANSWERS:
@@ -251,7 +255,7 @@
         until = time.monotonic() + left
         while True:
             if self._trouble(door) is Trouble.CUT:
-                raise ClientGoneError('cut')
+                raise ClientDisconnectedError('cut')
             if since < self._forgotten:
                 responder.answer(410)
                 return
--- a/tests/test_gateway_client.py
+++ b/tests/test_gateway_client.py
@@ -3,7 +3,7 @@
 import unittest
 
 import gevent
-from bendlead_gateway.http import BrokenAnswerError, HttpConnection
+from bendlead_gateway.http import HttpConnection, ResponseError
 from parameterized import parameterized
 
 from tests.gateway_standins import ScriptedPeer, chunked
@@ -88,7 +88,7 @@
         connection = HttpConnection(peer.address, 1)
         connection.send('GET', '/', [], b'', 1)
         if expected is None:
-            with self.assertRaises(BrokenAnswerError):
+            with self.assertRaises(ResponseError):
                 head = connection.read_head(1)
                 b''.join(connection.read_parts(head, 1))
             self.assertFalse(connection.reusable)
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -11,7 +11,7 @@
 import gevent
 from bendlead_gateway._entry import EntryNode
 from bendlead_gateway._owner import OwnerNode
-from bendlead_gateway.http import BrokenAnswerError, HttpConnection
+from bendlead_gateway.http import HttpConnection, ResponseError
 from bendlead_gateway.types import NodeRole
 from bendlead_platform import PlatformDialect, PlatformStore
 from bendlead_testing.platform_store import PlatformStandIn, Trouble
@@ -131,7 +131,7 @@
         try:
             head = connection.read_head(3)
             b''.join(connection.read_parts(head, 3))
-        except BrokenAnswerError:
+        except ResponseError:
             return 0
         return head.status
 
--- a/tests/test_gateway_entry.py
+++ b/tests/test_gateway_entry.py
@@ -5,7 +5,7 @@
 import unittest
 from unittest import mock
 
-from bendlead_gateway.http import BrokenAnswerError
+from bendlead_gateway.http import ResponseError
 from parameterized import parameterized
 
 from tests.gateway_cases import EntryCase
@@ -141,7 +141,7 @@
 
     def test_broken_stream_does_not_look_complete(self):
         self.start(route('streaming'), answers=[_CUT])
-        with self.assertRaises(BrokenAnswerError):
+        with self.assertRaises(ResponseError):
             self.read(self.ask())
 
     @parameterized.expand([('route', 300, 5000), ('client', 5000, 300)])
--- a/tests/test_gateway_fuzz.py
+++ b/tests/test_gateway_fuzz.py
@@ -11,7 +11,7 @@
 
 import msgspec
 from bendlead_gateway._entry import EntryNode
-from bendlead_gateway._http.parsing import RequestParser, UnreadableRequestError
+from bendlead_gateway._http.parsing import InvalidRequestError, RequestParser
 from bendlead_gateway.types import ClientLimits, NodeRole
 from bendlead_platform import (
     PlatformDialect,
@@ -293,7 +293,7 @@
     for start in range(0, len(sent), size):
         try:
             parser.feed(sent[start : start + size])
-        except UnreadableRequestError as error:
+        except InvalidRequestError as error:
             status = error.status
             break
     read = [(one.method, one.target, one.body) for one in parser.whole]
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -1,7 +1,7 @@
 """Graceful shutdown of an entry: requests that it still serves."""
 
 import gevent
-from bendlead_gateway.http import BrokenAnswerError, HttpConnection
+from bendlead_gateway.http import HttpConnection, ResponseError
 from gevent import socket
 from gevent.event import Event
 from msgspec.structs import replace
@@ -152,5 +152,5 @@
         self.addCleanup(connection.close)
         try:
             return connection.request('POST', '/x/2', _HEADERS).body == b'ok'
-        except BrokenAnswerError:
+        except ResponseError:
             return False
