--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pool.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pool.py
@@ -35,7 +35,7 @@
         kept = self._kept.get(engine.engine, [])
         while kept:
             rested = kept.pop()
-            if rested.until > now and rested.connection.quiet:
+            if rested.until > now and rested.connection.is_idle:
                 return rested.connection
             rested.connection.close()
         return HttpConnection(engine.address, _CONNECT_SECONDS)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
@@ -141,7 +141,7 @@
         return self._reusable and self._response_parser.finished
 
     @property
-    def quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the connection is open and has no unread bytes."""
         poll = select.poll()
         poll.register(self._sock.fileno(), select.POLLIN)
@@ -201,12 +201,12 @@
                 self._handle_end_of_stream(head)
                 return
 
-    def skip_answer(self, head: ResponseHead, timeout: float) -> None:
+    def skip_response(self, head: ResponseHead, timeout: float) -> None:
         """Discard a response that belongs to an earlier request."""
-        self.read_rest(head, timeout)
+        self.read_body(head, timeout)
         self._response_parser.drop_current()
 
-    def read_rest(self, head: ResponseHead, timeout: float) -> bytes:
+    def read_body(self, head: ResponseHead, timeout: float) -> bytes:
         """Read the remaining body of a response."""
         return b''.join(self.read_parts(head, timeout))
 
@@ -221,12 +221,12 @@
         """Send a request and return the complete response."""
         self.send(method, target, headers, body, timeout)
         head = self.read_head(timeout)
-        response_body = self.read_rest(head, timeout)
+        response_body = self.read_body(head, timeout)
         if (head.find('connection') or '').lower() == 'close':
             self._reusable = False
         return Response(head, response_body)
 
-    def keep_no_longer(self) -> None:
+    def disable_reuse(self) -> None:
         """Exclude the connection from use for further requests."""
         self._reusable = False
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -125,15 +125,15 @@
             if answer.request in {None, item.item}:
                 run.response_started = True
                 return head
-            connection.skip_answer(head, _IO_TIMEOUT_SECONDS)
-            connection.keep_no_longer()
+            connection.skip_response(head, _IO_TIMEOUT_SECONDS)
+            connection.disable_reuse()
 
     def _read_response(
         self, run: ItemRun, connection: HttpConnection, head: ResponseHead
     ) -> ItemOutcome | None:
         answer = self._dialect.engine_answer(head.status, head.headers)
         if answer.closing:
-            connection.keep_no_longer()
+            connection.disable_reuse()
         if head.status == HTTPStatus.OK:
             self._fleet.shared_health.record_success(
                 run.engine, run.sent_at, lambda: run.digest
@@ -144,7 +144,7 @@
                 run.engine, connection, answer.idle_seconds
             )
             return ItemOutcome.COMPLETED
-        connection.keep_no_longer()
+        connection.disable_reuse()
         if answer.not_run:
             run.postpone()
             if answer.misdirected:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
@@ -167,7 +167,7 @@
         idle = self._idle_connections.get(address, [])
         while idle:
             connection = idle.pop()
-            if connection.quiet:
+            if connection.is_idle:
                 return connection
             connection.close()
         try:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -114,7 +114,7 @@
         self._health.heard(engine.engine)
         answer = self._dialect.engine_answer(head.status, head.headers)
         if answer.closing:
-            connection.keep_no_longer()
+            connection.disable_reuse()
         if answer.not_run:
             self._read_refusal(connection, head)
             if answer.misdirected:
@@ -131,7 +131,7 @@
             kind = classify_status(head.status)
             self._shared.record_failure(engine, kind, exchange.digest)
             if exchange.may_fail_over:
-                connection.keep_no_longer()
+                connection.disable_reuse()
                 raise UnknownOutcomeError(
                     f'engine responded with status {head.status}'
                 )
@@ -157,7 +157,7 @@
             self._send(exchange, engine, connection)
             return self._read_own_head(exchange, connection, timeout)
         except OSError as error:
-            connection.keep_no_longer()
+            connection.disable_reuse()
             silent = isinstance(error, ResponseTimeoutError)
             if silent and reused:
                 # Other idle connections may be dead as well.
@@ -225,17 +225,17 @@
                 request=exchange.facts.request,
                 belongs_to=answer.request,
             )
-            connection.skip_answer(head, exchange.read_timeout)
-            connection.keep_no_longer()
+            connection.skip_response(head, exchange.read_timeout)
+            connection.disable_reuse()
 
     def _read_refusal(
         self, connection: HttpConnection, head: ResponseHead
     ) -> None:
         try:
-            connection.read_rest(head, _REFUSAL_READ_SECONDS)
+            connection.read_body(head, _REFUSAL_READ_SECONDS)
         except ResponseError:
             # The refusal is valid; only the connection cannot be reused.
-            connection.keep_no_longer()
+            connection.disable_reuse()
 
     def _relay(
         self,
--- a/tests/test_gateway_client.py
+++ b/tests/test_gateway_client.py
@@ -55,7 +55,7 @@
         connection.send('POST', '/', [], b'x', 1)
         head = connection.read_head(1)
         self.assertEqual('earlier', head.find('x-answer'))
-        connection.skip_answer(head, 1)
+        connection.skip_response(head, 1)
         head = connection.read_head(1)
         self.assertEqual('own', head.find('x-answer'))
         self.assertEqual(b'new', b''.join(connection.read_parts(head, 1)))
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -76,7 +76,7 @@
         running.send('POST', '/x/2', _HEADERS, b'prompt', 1)
         head = running.read_head(3)
         self.assertEqual(200, head.status)
-        running.skip_answer(head, 3)
+        running.skip_response(head, 3)
         self.assertEqual(503, running.read_head(1).status)
         self.assertEqual(1, self.sent())
 
