--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -100,10 +100,12 @@
             clock.uptime,
             _most_clients(settings.descriptors),
         )
-        self._clients.on_trouble = lambda reason: self.log.event(
+        self._clients.on_accept_error = lambda reason: self.log.event(
             'client-not-taken', reason=reason
         )
-        self._clients.bodies.most = int(settings.memory * _BODIES_SHARE)
+        self._clients.body_budget.max_bytes = int(
+            settings.memory * _BODIES_SHARE
+        )
         self._strain = OverloadDetector()
         self._turns_away = False
         self._stop: StopSchedule | None = None
@@ -170,7 +172,7 @@
             gevent.sleep(_CHECK_SECONDS)
         cut = self._clients.busy
         if cut:
-            self._clients.answer_unfinished()
+            self._clients.abort_requests()
             gevent.sleep(_LAST_WORDS_SECONDS)
         self.log.event('left', cut=cut)
         self.done.set()
@@ -205,7 +207,9 @@
             due = clock.uptime() + _STRAIN_SECONDS
             gevent.sleep(_STRAIN_SECONDS)
             late = max(0, clock.uptime() - due)
-            room = ResourceUse(self._clients.bodies.used, self._clients.used)
+            room = ResourceUse(
+                self._clients.body_budget.utilization, self._clients.utilization
+            )
             if self._strain.update(late, room):
                 self.log.event(
                     'strain',
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/body_budget.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/body_budget.py
@@ -11,15 +11,15 @@
     """Count of buffered body bytes and their limit."""
 
     #: Limit in bytes; 0 means no limit.
-    most: int = 0
-    held: int = 0
+    max_bytes: int = 0
+    used_bytes: int = 0
 
     @property
-    def over(self) -> bool:
+    def exceeded(self) -> bool:
         """Whether the limit is exceeded."""
-        return 0 < self.most < self.held
+        return 0 < self.max_bytes < self.used_bytes
 
     @property
-    def used(self) -> float:
+    def utilization(self) -> float:
         """Used share of the limit."""
-        return self.held / self.most if self.most else 0
+        return self.used_bytes / self.max_bytes if self.max_bytes else 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -44,13 +44,13 @@
         handler: Handler,
         limits: ClientLimits,
         now: Callable[[], float],
-        bodies: BodyBudget,
+        body_budget: BodyBudget,
     ) -> None:
         self._sock = sock
         self._handler = handler
         self._limits = limits
         self._now = now
-        self._bodies = bodies
+        self._body_budget = body_budget
         self._buffered_bytes = 0
         self._handled_body_bytes = 0
         self._parser = RequestParser(limits, now)
@@ -90,13 +90,13 @@
         if self._responder is not None and not self._responder.started:
             self._responder.close_after()
 
-    def answer_unfinished(self) -> None:
+    def abort_request(self) -> None:
         """Abort the current request; respond if no response has started."""
         if self._task is not None:
             self._task.kill(ServerShutdownError, block=False)
 
     def _release(self) -> None:
-        self._bodies.held -= self._buffered_bytes
+        self._body_budget.used_bytes -= self._buffered_bytes
         self._buffered_bytes = 0
         self._sock.close()
 
@@ -122,7 +122,7 @@
             return False
         self._update_buffered_bytes()
         # A request that is being handled may have run, so it is not aborted.
-        if self._bodies.over and self._task is None:
+        if self._body_budget.exceeded and self._task is None:
             # The request was not started, so the client may retry it.
             self._reject(HTTPStatus.SERVICE_UNAVAILABLE)
             return False
@@ -130,7 +130,7 @@
 
     def _update_buffered_bytes(self) -> None:
         buffered = self._parser.held + self._handled_body_bytes
-        self._bodies.held += buffered - self._buffered_bytes
+        self._body_budget.used_bytes += buffered - self._buffered_bytes
         self._buffered_bytes = buffered
 
     def _keeps_waiting(self) -> bool:
@@ -225,9 +225,9 @@
         self._max_connections = max_connections
         self._connections: set[_Connection] = set()
         #: Bodies buffered by all connections.
-        self.bodies = BodyBudget()
+        self.body_budget = BodyBudget()
         #: Called with the reason if a connection could not be accepted.
-        self.on_trouble: Callable[[str], None] = _ignore_reason
+        self.on_accept_error: Callable[[str], None] = _ignore_reason
 
     @property
     def busy(self) -> int:
@@ -235,7 +235,7 @@
         return sum(1 for connection in self._connections if connection.busy)
 
     @property
-    def used(self) -> float:
+    def utilization(self) -> float:
         """Busy connections as a share of the connection limit."""
         return self.busy / self._max_connections
 
@@ -257,10 +257,10 @@
         for connection in list(self._connections):
             connection.close_after_answer()
 
-    def answer_unfinished(self) -> None:
+    def abort_requests(self) -> None:
         """Abort all requests; respond to those without a started response."""
         for connection in list(self._connections):
-            connection.answer_unfinished()
+            connection.abort_request()
 
     def _accept(self) -> None:
         while True:
@@ -269,20 +269,20 @@
             except OSError as error:
                 if error.errno == errno.EBADF:
                     return
-                self.on_trouble(f'accepting a connection failed: {error}')
+                self.on_accept_error(f'accepting a connection failed: {error}')
                 gevent.sleep(_ACCEPT_RETRY_SECONDS)
                 continue
             if self._ensure_capacity():
                 self._add_connection(sock)
             else:
-                self.on_trouble(
+                self.on_accept_error(
                     f'{self._max_connections} connections, the limit, are busy'
                 )
                 sock.close()
 
     def _add_connection(self, sock: socket.socket) -> None:
         connection = _Connection(
-            sock, self._handler, self._limits(), self._now, self.bodies
+            sock, self._handler, self._limits(), self._now, self.body_budget
         )
         self._connections.add(connection)
         gevent.spawn(self._serve, connection)
--- a/tests/test_gateway_overload.py
+++ b/tests/test_gateway_overload.py
@@ -85,7 +85,7 @@
         self.server = HttpServer(
             address, self._answer, ClientLimits, time.monotonic
         )
-        self.server.bodies.most = 200_000
+        self.server.body_budget.max_bytes = 200_000
         self.server.start()
         self.addCleanup(self.server.stop_accepting)
         host, port = address.split(':')
@@ -94,23 +94,23 @@
     def test_too_many_bodies(self):
         clients = [self.send(self.BODY) for _client in range(6)]
         gevent.sleep(0.2)
-        self.assertLessEqual(self.server.bodies.held, 200_000)
+        self.assertLessEqual(self.server.body_budget.used_bytes, 200_000)
         self.proceed.set()
         answers = [self.read(client) for client in clients]
         self.assertEqual(3, sum(b' 200 ' in answer for answer in answers))
         refused = [answer for answer in answers if b' 503 ' in answer]
         self.assertTrue(all(b'Retry-After' in answer for answer in refused))
         gevent.sleep(0.1)
-        self.assertEqual(0, self.server.bodies.held)
+        self.assertEqual(0, self.server.body_budget.used_bytes)
         self.assertIn(b' 200 ', self.read(self.send(self.BODY)))
 
     def test_incomplete_body_is_released(self):
         client = self.send(self.BODY[:-1], len(self.BODY))
         gevent.sleep(0.1)
-        self.assertGreater(self.server.bodies.held, 50_000)
+        self.assertGreater(self.server.body_budget.used_bytes, 50_000)
         client.close()
         gevent.sleep(0.1)
-        self.assertEqual(0, self.server.bodies.held)
+        self.assertEqual(0, self.server.body_budget.used_bytes)
 
     def test_unread_response_times_out(self):
         """A client that reads nothing does not keep its response for ever."""
@@ -164,9 +164,9 @@
             answers=[answer],
             memory=1_000_000,
         )
-        bodies = self.entry._clients.bodies
-        self.assertEqual(250_000, bodies.most)
-        bodies.held += int(250_000 * used)
+        body_budget = self.entry._clients.body_budget
+        self.assertEqual(250_000, body_budget.max_bytes)
+        body_budget.used_bytes += int(250_000 * used)
         with mock.patch.object(
             self.entry.peers, 'strained_in_hall', lambda: others
         ):
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -232,6 +232,6 @@
         self.begin()
         asking = self.ask(patience=1800)
         eventually(lambda: self.waiting() == 1)
-        self.entry._clients.answer_unfinished()
+        self.entry._clients.abort_requests()
         head, _body = self.read(asking)
         self.assertEqual(503, head.status)
