--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -303,7 +303,7 @@
         self.log.event(
             'late-request',
             target=request.target,
-            served_before=responder.served_before,
+            served_before=responder.earlier_requests,
             stopping_for=round(stop.age, 3),
         )
         responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
@@ -20,7 +20,7 @@
 class Request(Struct):
     """Complete request of a client.
 
-    ``received`` is the time of its last byte, in seconds of the server's clock.
+    ``received_at`` is the time of its last byte, in seconds of the server's clock.
     """
 
     method: str
@@ -28,7 +28,7 @@
     headers: Headers
     body: bytes
     keep_alive: bool
-    received: float
+    received_at: float
 
     @property
     def path(self) -> str:
@@ -48,12 +48,12 @@
     """Writer for one response to a client."""
 
     def __init__(
-        self, sock: socket.socket, keep_alive: bool, served_before: int = 0
+        self, sock: socket.socket, keep_alive: bool, earlier_requests: int = 0
     ) -> None:
         self._sock = sock
         self._keep_alive = keep_alive
         #: Number of earlier requests on the same connection.
-        self.served_before = served_before
+        self.earlier_requests = earlier_requests
         self._chunked = False
         self.started = False
         self.finished = False
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/parsing.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/parsing.py
@@ -41,20 +41,20 @@
         self._parser = httptools.HttpRequestParser(self)
         self._partial = _PartialRequest()
         #: Arrival time of the first byte of an incomplete request, or 0.
-        self.begun = 0.0
-        self.whole: deque[Request] = deque()
+        self.started_at = 0.0
+        self.complete_requests: deque[Request] = deque()
 
     @property
-    def held(self) -> int:
+    def body_bytes(self) -> int:
         """Number of body bytes buffered by this parser."""
         return self._partial.body_bytes + sum(
-            len(request.body) for request in self.whole
+            len(request.body) for request in self.complete_requests
         )
 
     def feed(self, received: bytes) -> None:
         """Parse received bytes, or raise InvalidRequestError."""
-        if not self.begun:
-            self.begun = self._now()
+        if not self.started_at:
+            self.started_at = self._now()
         try:
             self._parser.feed_data(received)
         except httptools.HttpParserUpgrade as error:
@@ -92,7 +92,7 @@
         """Append the complete request to the queue."""
         partial = self._partial
         self._partial = _PartialRequest()
-        self.begun = 0
+        self.started_at = 0
         request = Request(
             self._parser.get_method().decode('latin-1'),
             partial.target.decode('latin-1'),
@@ -101,7 +101,7 @@
             self._parser.should_keep_alive(),
             self._now(),
         )
-        self.whole.append(request)
+        self.complete_requests.append(request)
 
     def _count_header(self, size: int) -> None:
         self._partial.header_bytes += size
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -22,7 +22,7 @@
     InvalidRequestError,
     RequestParser,
 )
-from bendlead_gateway._http.sockets import listen, tune
+from bendlead_gateway._http.sockets import listen, set_tcp_options
 from bendlead_gateway.types import ClientLimits
 
 _READ_BYTES = 65_536
@@ -64,12 +64,16 @@
     @property
     def busy(self) -> bool:
         """Whether a request is being received or handled."""
-        return bool(self._task or self._parser.whole or self._parser.begun)
+        return bool(
+            self._task
+            or self._parser.complete_requests
+            or self._parser.started_at
+        )
 
     def run(self) -> None:
         """Read requests until the connection ends."""
         try:
-            tune(self._sock)
+            set_tcp_options(self._sock)
             self._read_all()
         except OSError:
             # The client is gone, so no response can be sent.
@@ -129,7 +133,7 @@
         return True
 
     def _update_buffered_bytes(self) -> None:
-        buffered = self._parser.held + self._handled_body_bytes
+        buffered = self._parser.body_bytes + self._handled_body_bytes
         self._body_budget.used_bytes += buffered - self._buffered_bytes
         self._buffered_bytes = buffered
 
@@ -137,7 +141,7 @@
         """Return whether to go on reading after a read timeout."""
         if self._task is not None:
             return True
-        if self._parser.begun:
+        if self._parser.started_at:
             self._reject(HTTPStatus.REQUEST_TIMEOUT)
             return False
         # The read may have started before the latest response ended.
@@ -146,7 +150,7 @@
     def _read_timeout(self) -> float:
         if self._task is not None:
             return self._limits.idle_seconds
-        if self._parser.begun:
+        if self._parser.started_at:
             return self._limits.header_seconds
         return max(self._idle_seconds_left(), _MIN_TIMEOUT_SECONDS)
 
@@ -160,7 +164,7 @@
             responder.answer(status, _RETRY_AFTER if retryable else ())
 
     def _start_next(self) -> None:
-        requests = self._parser.whole
+        requests = self._parser.complete_requests
         if self._task is None and requests and not self._closing:
             request = requests.popleft()
             self._handled_body_bytes = len(request.body)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/sockets.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/sockets.py
@@ -12,7 +12,7 @@
 _BACKLOG = 1024
 
 
-def tune(sock: socket.socket) -> None:
+def set_tcp_options(sock: socket.socket) -> None:
     """Set short keep-alive and retransmission timeouts on a socket."""
     level = constants.IPPROTO_TCP
     sock.setsockopt(level, constants.TCP_NODELAY, 1)
@@ -41,7 +41,7 @@
     except OSError:
         sock.close()
         raise
-    tune(sock)
+    set_tcp_options(sock)
     return sock
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
@@ -78,7 +78,7 @@
     @property
     def elapsed(self) -> float:
         """Return the seconds since the request was received."""
-        return clock.uptime() - self.request.received
+        return clock.uptime() - self.request.received_at
 
     @property
     def may_have_run(self) -> bool:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -90,7 +90,7 @@
             responder,
             facts,
             route,
-            request.received + timeout,
+            request.received_at + timeout,
             team.name if team else TeamName(''),
             last_event=facts.resume_after,
         )
@@ -257,7 +257,7 @@
     def _record_outcome(self, exchange: Exchange, outcome: str) -> None:
         first_seconds = 0.0
         if exchange.first_event:
-            first_seconds = exchange.first_event - exchange.request.received
+            first_seconds = exchange.first_event - exchange.request.received_at
             self._metrics.first_event.observe(first_seconds)
         self._metrics.requests[outcome] += 1
         self._metrics.whole_answer.observe(exchange.elapsed)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -91,7 +91,10 @@
         route = exchange.route
         stream = route.kind is RouteKind.STREAM
         last_send = latest_send_time(
-            exchange.request.received, exchange.deadline, route.target, stream
+            exchange.request.received_at,
+            exchange.deadline,
+            route.target,
+            stream,
         )
         patience = self._patience.setdefault(route.name, RetryDetector())
         if not patience.is_retry(exchange.facts.patience, route.timeout):
--- a/tests/test_gateway_fuzz.py
+++ b/tests/test_gateway_fuzz.py
@@ -296,7 +296,9 @@
         except InvalidRequestError as error:
             status = error.status
             break
-    read = [(one.method, one.target, one.body) for one in parser.whole]
+    read = [
+        (one.method, one.target, one.body) for one in parser.complete_requests
+    ]
     return read, status
 
 
