--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
@@ -67,7 +67,7 @@
         behind = self._queue.is_ahead_of(service, exchange.turn)
         return AdmissionRequest(
             exchange.route.target,
-            exchange.facts.patience,
+            exchange.facts.timeout,
             exchange.turn,
             behind,
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -83,8 +83,8 @@
     ) -> str:
         """Serve one request, log it, and return its outcome."""
         timeout = route.timeout
-        if facts.patience is not None:
-            timeout = min(timeout, facts.patience)
+        if facts.timeout is not None:
+            timeout = min(timeout, facts.timeout)
         exchange = Exchange(
             request,
             responder,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -97,7 +97,7 @@
             stream,
         )
         patience = self._patience.setdefault(route.name, RetryDetector())
-        if not patience.is_retry(exchange.facts.patience, route.timeout):
+        if not patience.is_retry(exchange.facts.timeout, route.timeout):
             return None
         now = self._now()
         if not should_queue(last_send - now, route.target):
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -34,7 +34,11 @@
         super().__init__(settings, store, dialect)
         self._calls = 0
         self._keeper = ShardManager(
-            self.store, self.record, self.peers, self.log, settings.status_kept
+            self.store,
+            self.record,
+            self.peers,
+            self.log,
+            settings.status_retention,
         )
         self._runner = ItemRunner(
             settings.node,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/admission.py
@@ -83,7 +83,7 @@
             entries=self.limits.group.entries,
         )
         rate = team.rate / self.limits.group.reachable
-        over = OverLimit(team.name, wait, rate, facts.patience)
+        over = OverLimit(team.name, wait, rate, facts.timeout)
         retry_after = self._retry_times.assign(over, random.random)
         responder.answer(
             HTTPStatus.TOO_MANY_REQUESTS,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/nodes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/nodes.py
@@ -29,7 +29,7 @@
     descriptors: int
     grace: float
     settle: float
-    status_kept: float
+    status_retention: float
     limit_window: LimitWindow = field(default_factory=LimitWindow)
     #: Memory limit of the process in bytes; 0 if unknown.
     memory: int = 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_types/requests.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_types/requests.py
@@ -12,11 +12,11 @@
 class RequestFacts(Struct, frozen=True):
     """Request metadata that the gateway reads from a client's headers.
 
-    ``patience`` is the client's timeout in seconds, if given.
+    ``timeout`` is the client's timeout in seconds, if given.
     ``resume_after`` is the id of the last event received, for a resumed stream.
     """
 
     request: RequestId
     host: str
-    patience: float | None = None
+    timeout: float | None = None
     resume_after: int | None = None
--- a/tests/gateway_standins.py
+++ b/tests/gateway_standins.py
@@ -148,7 +148,7 @@
         descriptors=4000,
         grace=4,
         settle=1,
-        status_kept=120,
+        status_retention=120,
     )
 
 
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -153,7 +153,7 @@
         facts = _DIALECT.request_facts(headers)
         self.assertEqual(
             ('id1', 'a.example', 5.0, 4),
-            (facts.request, facts.host, facts.patience, facts.resume_after),
+            (facts.request, facts.host, facts.timeout, facts.resume_after),
         )
 
     @parameterized.expand([('inf',), ('-inf',), ('nan',), ('1e999',)])
@@ -165,7 +165,7 @@
             ('Last-Event-Id', text),
         ]
         facts = _DIALECT.request_facts(headers)
-        self.assertEqual((None, None), (facts.patience, facts.resume_after))
+        self.assertEqual((None, None), (facts.timeout, facts.resume_after))
         call = _DIALECT.job_call(
             'GET', f'/-/lots/j1?watch_after={text}', [('X-Wait-Ms', text)]
         )
