--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/messages.py
@@ -20,7 +20,7 @@
 class Request(Struct):
     """Complete request of a client.
 
-    ``received_at`` is the time of its last byte, in seconds of the server's clock.
+    ``received_at`` is the arrival time of its last byte, in seconds.
     """
 
     method: str
