--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -161,7 +161,7 @@
         """
         stop = StopSchedule.begin(self.settings.grace)
         self._stop = stop
-        self._clients.close_after_answers()
+        self._clients.close_after_responses()
         gevent.sleep(stop.closes - stop.began)
         self._clients.stop_accepting()
         self.log.event('clients-refused', busy=self._clients.busy)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -89,7 +89,7 @@
             self._closing = True
             self._sock.close()
 
-    def close_after_answer(self) -> None:
+    def close_after_response(self) -> None:
         """Close after the current response, unless it has started."""
         if self._responder is not None and not self._responder.started:
             self._responder.close_after()
@@ -256,10 +256,10 @@
         for connection in list(self._connections):
             connection.close_idle()
 
-    def close_after_answers(self) -> None:
+    def close_after_responses(self) -> None:
         """Close each connection after its current response, if not started."""
         for connection in list(self._connections):
-            connection.close_after_answer()
+            connection.close_after_response()
 
     def abort_requests(self) -> None:
         """Abort all requests; respond to those without a started response."""
