--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -182,7 +182,7 @@
         except ClientDisconnectedError:
             responder.abort()
         finally:
-            # On an unexpected error, too, the client must not wait on.
+            # Also after an unexpected error, so that the client does not hang.
             self._finish_request(responder)
         self._start_next()
 
