--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -1,4 +1,4 @@
-"""The platform's messages, good and bad, and the types they become."""
+"""Tests of decoding and encoding the platform's messages and settings."""
 
 import base64
 import json
@@ -67,19 +67,19 @@
 
 
 class ConfigurationTest(unittest.TestCase):
-    """Routes and services of the operator."""
+    """Decoding of the operator's configuration."""
 
     def test_route(self):
         body = {'version': 7, 'routes': [_ROUTE], 'services': [{'name': 's1'}]}
-        found = _DIALECT.configuration(_entry('config/main', body)).ok_value
-        route = found.routes[0]
-        self.assertEqual(7, found.version)
+        decoded = _DIALECT.configuration(_entry('config/main', body)).ok_value
+        route = decoded.routes[0]
+        self.assertEqual(7, decoded.version)
         self.assertIs(RouteKind.STREAM, route.kind)
         self.assertEqual(
             (5.0, 0.3, 0.2), (route.timeout, route.target, route.gap_target)
         )
         self.assertTrue(route.repeatable)
-        self.assertEqual(['s1'], [one.service for one in route.shares])
+        self.assertEqual(['s1'], [share.service for share in route.shares])
 
     @parameterized.expand(
         [
@@ -89,29 +89,31 @@
             ('unknown_kind', {'kind': 'new'}, False),
         ],
     )
-    def test_repeatable(self, _name, changed, expected):
-        body = {'version': 1, 'routes': [{**_ROUTE, **changed}]}
-        found = _DIALECT.configuration(_entry('config/main', body)).ok_value
-        self.assertEqual(expected, found.routes[0].repeatable)
+    def test_repeatable(self, _name, changes, expected):
+        body = {'version': 1, 'routes': [{**_ROUTE, **changes}]}
+        decoded = _DIALECT.configuration(_entry('config/main', body)).ok_value
+        self.assertEqual(expected, decoded.routes[0].repeatable)
 
     def test_split(self):
         split = [{'service': 'a', 'weight': 90}, {'service': 'b', 'weight': 10}]
         body = {'version': 1, 'routes': [{**_ROUTE, 'split': split}]}
-        found = _DIALECT.configuration(_entry('config/main', body)).ok_value
-        shares = [(one.service, one.weight) for one in found.routes[0].shares]
+        decoded = _DIALECT.configuration(_entry('config/main', body)).ok_value
+        shares = [
+            (share.service, share.weight) for share in decoded.routes[0].shares
+        ]
         self.assertEqual([('a', 90), ('b', 10)], shares)
 
     @parameterized.expand(
         [('no_version', {'routes': []}), ('wrong_kind', {'version': 'x'})],
     )
-    def test_bad(self, _name, body):
-        found = _DIALECT.configuration(_entry('config/main', body))
-        self.assertTrue(found.is_err())
-        self.assertEqual('config/main', found.err_value.peer)
+    def test_invalid(self, _name, body):
+        decoded = _DIALECT.configuration(_entry('config/main', body))
+        self.assertTrue(decoded.is_err())
+        self.assertEqual('config/main', decoded.err_value.peer)
 
 
 class EngineTest(unittest.TestCase):
-    """Engines of service discovery."""
+    """Decoding of engine registrations."""
 
     @parameterized.expand(
         [
@@ -120,15 +122,15 @@
         ],
     )
     def test_state(self, _name, state, expected):
-        found = _DIALECT.engine(self.entry(state)).ok_value
-        self.assertIs(expected, found.state)
-        self.assertEqual(('i-1', 8), (found.engine, found.slots))
+        decoded = _DIALECT.engine(self.entry(state)).ok_value
+        self.assertIs(expected, decoded.state)
+        self.assertEqual(('i-1', 8), (decoded.engine, decoded.slots))
 
-    def test_unknown_state_names_no_engine(self):
+    def test_unknown_state_is_invalid(self):
         self.assertTrue(_DIALECT.engine(self.entry('resting')).is_err())
 
     def entry(self, state):
-        """Make the entry of an engine."""
+        """Return the registration of an engine in a state."""
         body = {
             'service': 's1',
             'address': '10.0.0.1:80',
@@ -141,7 +143,7 @@
 
 
 class RequestTest(unittest.TestCase):
-    """Headers of clients and towards engines."""
+    """Headers of clients' and engines' messages."""
 
     def test_facts(self):
         headers = [
@@ -157,8 +159,8 @@
         )
 
     @parameterized.expand([('inf',), ('-inf',), ('nan',), ('1e999',)])
-    def test_number_without_end(self, text):
-        """What is no number is as good as not there."""
+    def test_number_not_finite(self, text):
+        """Numbers that are not finite count as missing."""
         headers = [
             ('X-Attempt-Id', 'a1'),
             ('X-Deadline-Ms', text),
@@ -174,7 +176,7 @@
     def test_no_id(self):
         self.assertIsNone(_DIALECT.request_facts([('Host', 'a')]))
 
-    def test_engine_headers_replace_what_changes(self):
+    def test_engine_headers_replace_client_headers(self):
         headers = [
             ('X-Attempt-Id', 'id1'),
             ('X-Model', 'm'),
@@ -183,7 +185,9 @@
             ('X-Credential', 'k1'),
             ('x-tenant', 'team-2'),
         ]
-        made = dict(_DIALECT.engine_headers(headers, 'i-1', 1.25, 9, 'team-1'))
+        outgoing = dict(
+            _DIALECT.engine_headers(headers, 'i-1', 1.25, 9, 'team-1')
+        )
         self.assertEqual(
             {
                 'X-Attempt-Id': 'id1',
@@ -193,7 +197,7 @@
                 'Last-Event-Id': '9',
                 'X-Tenant': 'team-1',
             },
-            made,
+            outgoing,
         )
 
     @parameterized.expand(
@@ -222,7 +226,7 @@
 
 
 class JobTest(unittest.TestCase):
-    """Calls about jobs."""
+    """Job calls, submissions and results."""
 
     @parameterized.expand(
         [
@@ -252,10 +256,10 @@
         }
         headers = [('Host', 'a.example'), ('X-Attempt-Id', 'j1')]
         body = json.dumps({'items': [item]}).encode()
-        found = _DIALECT.submission('/x/j1', headers, body)
-        self.assertEqual(('j1', 'a.example'), (found.job, found.host))
-        self.assertEqual(b'prompt', found.items[0].body)
-        self.assertEqual(940, found.items[0].tokens)
+        decoded = _DIALECT.submission('/x/j1', headers, body)
+        self.assertEqual(('j1', 'a.example'), (decoded.job, decoded.host))
+        self.assertEqual(b'prompt', decoded.items[0].body)
+        self.assertEqual(940, decoded.items[0].tokens)
 
     @parameterized.expand(
         [
@@ -264,7 +268,7 @@
             ('bad_base64', b'{"items":[{"id":"a","path":"/","body":"!"}]}'),
         ],
     )
-    def test_bad_submission(self, _name, body):
+    def test_invalid_submission(self, _name, body):
         headers = [('X-Attempt-Id', 'j1')]
         self.assertIsNone(_DIALECT.submission('/x/j1', headers, body))
 
@@ -273,14 +277,14 @@
             ItemResult('i1', ItemOutcome.COMPLETED, 'a\nb'),
             ItemResult('i2', ItemOutcome.GIVEN_UP, ''),
         ]
-        shown = json.loads(_DIALECT.encode_results(40, 12, results))
-        self.assertEqual((40, 14), (shown['total'], shown['next_token']))
-        states = [one['state'] for one in shown['results']]
+        encoded = json.loads(_DIALECT.encode_results(40, 12, results))
+        self.assertEqual((40, 14), (encoded['total'], encoded['next_token']))
+        states = [item['state'] for item in encoded['results']]
         self.assertEqual(['completed', 'dead_lettered'], states)
 
 
 class SettingsTest(unittest.TestCase):
-    """The settings file of a process."""
+    """Loading, validation and reloading of the settings file."""
 
     def _load(self, text):
         with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
@@ -288,12 +292,12 @@
             file.flush()
             return load_settings(file.name)
 
-    def test_file_that_changes(self):
+    def test_changed_file_is_reloaded(self):
         with tempfile.NamedTemporaryFile('w', suffix='.toml') as file:
             file.write(_SETTINGS)
             file.flush()
-            source = SettingsFile(file.name)
-            self.assertEqual(Ok(None), source.changed())
+            settings_file = SettingsFile(file.name)
+            self.assertEqual(Ok(None), settings_file.changed())
             for text, expected in (
                 (_SETTINGS.replace('grace_s = 8', 'grace_s = 5'), 5),
                 ('node = ', None),
@@ -302,16 +306,16 @@
                 file.truncate()
                 file.write(text)
                 file.flush()
-                found = source.changed()
-                told = found.ok_value.grace if found.is_ok() else None
-                self.assertEqual(expected, told)
-            self.assertEqual(Ok(None), source.changed())
+                loaded = settings_file.changed()
+                grace = loaded.ok_value.grace if loaded.is_ok() else None
+                self.assertEqual(expected, grace)
+            self.assertEqual(Ok(None), settings_file.changed())
 
     def test_good(self):
-        found = self._load(_SETTINGS)
-        self.assertIs(NodeRole.ENTRY, found.role)
-        self.assertEqual('10.1.0.10:8161', found.clients_address)
-        self.assertEqual((8, 1.0), (found.grace, found.settle))
+        loaded = self._load(_SETTINGS)
+        self.assertIs(NodeRole.ENTRY, loaded.role)
+        self.assertEqual('10.1.0.10:8161', loaded.clients_address)
+        self.assertEqual((8, 1.0), (loaded.grace, loaded.settle))
 
     @parameterized.expand(
         [
@@ -326,7 +330,7 @@
             ('no_toml', 'node = ', 'node ', 'toml'),
         ],
     )
-    def test_bad_names_what_is_wrong(self, _name, old, new, expected):
+    def test_error_names_the_field(self, _name, old, new, expected):
         with self.assertRaises(SettingsError) as caught:
             self._load(_SETTINGS.replace(old, new))
         self.assertIn(expected, str(caught.exception))
--- a/tests/test_platform_names.py
+++ b/tests/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stay in its folder."""
+"""Tests that only the platform adapter uses the platform's wire names."""
 
 import pathlib
 import unittest
@@ -11,8 +11,8 @@
     for path in (_ROOT / 'packages').rglob('*.py')
     if '.egg-info' not in str(path)
 ]
-# Last-Event-Id is the standard header of event streams, so it is not listed.
-_NAMES = (
+# Without Last-Event-Id, which is a standard header of event streams.
+_WIRE_NAMES = (
     'X-Attempt-Id',
     'X-Deadline-Ms',
     'X-Expect-Instance',
@@ -38,27 +38,27 @@
     'run_target_ms',
     'watch_after',
 )
-_MOST_LINES = 1200
+_MAX_LINES = 1200
 
 
 class NamesTest(unittest.TestCase):
-    """No name of the platform outside its folder."""
+    """Occurrences of the platform's wire names in the packages."""
 
     def test_sources_are_found(self):
         self.assertGreater(len(_SOURCES), 50)
 
-    @parameterized.expand([(name,) for name in _NAMES])
-    def test_name(self, name):
-        found = [
+    @parameterized.expand([(name,) for name in _WIRE_NAMES])
+    def test_name_is_not_used(self, name):
+        paths = [
             str(path.relative_to(_ROOT))
             for path in _SOURCES
             if name.lower() in path.read_text(encoding='utf-8').lower()
         ]
-        self.assertEqual([], found)
+        self.assertEqual([], paths)
 
-    def test_folder_stays_small(self):
+    def test_adapter_size(self):
         lines = sum(
             len(path.read_text(encoding='utf-8').splitlines())
             for path in (_ROOT / 'platform').rglob('*.py')
         )
-        self.assertLess(lines, _MOST_LINES)
+        self.assertLess(lines, _MAX_LINES)
--- a/tests/test_platform_preopen.py
+++ b/tests/test_platform_preopen.py
@@ -1,4 +1,4 @@
-"""Clients that connect while the program is still being loaded."""
+"""Tests of the client socket that is opened before the program is imported."""
 
 import os
 import pathlib
@@ -24,11 +24,11 @@
     settings,
 )
 
-_WHOLE = chunked(event(1, 'a'), headers='X-Response-Seal: s1\r\n')
+_COMPLETE_RESPONSE = chunked(event(1, 'a'), headers='X-Response-Seal: s1\r\n')
 
 
-def _opened(text):
-    """Open the socket that a settings file of this text asks for."""
+def _open_socket(text):
+    """Open the client socket with a settings file of this text."""
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder, 'settings.toml')
         path.write_text(text, encoding='utf-8')
@@ -37,35 +37,39 @@
 
 
 class PreopenTest(EntryCase):
-    """The socket listens first; the entry comes later."""
+    """Clients that connect before the entry serves them."""
 
-    def test_client_waits_until_it_is_read(self):
-        made = settings('entry-1', NodeRole.ENTRY, self.store.address)
-        clients = _opened(f'[listen]\nfrontend = "{made.clients_address}"\n')
-        early = HttpConnection(made.clients_address, 1)
-        self.addCleanup(early.close)
+    def test_early_client_is_served(self):
+        node_settings = settings('entry-1', NodeRole.ENTRY, self.store.address)
+        clients = _open_socket(
+            f'[listen]\nfrontend = "{node_settings.clients_address}"\n'
+        )
+        client = HttpConnection(node_settings.clients_address, 1)
+        self.addCleanup(client.close)
         headers = [('Host', 'a.example'), ('X-Attempt-Id', 'id1')]
-        early.send('POST', '/x/1', headers, b'prompt', 1)
-        self._start_engine(0, _WHOLE)
+        client.send('POST', '/x/1', headers, b'prompt', 1)
+        self._start_engine(0, _COMPLETE_RESPONSE)
         self.store.set('config', 'main', configuration(1, route('streaming')))
-        store = PlatformStore(made.store_address)
-        entry = EntryNode(made, store, PlatformDialect(), clients)
+        store = PlatformStore(node_settings.store_address)
+        entry = EntryNode(node_settings, store, PlatformDialect(), clients)
         entry.serve()
-        head, body = self.read(early)
+        head, body = self.read(client)
         self.assertEqual((200, event(1, 'a')), (head.status, body))
 
-    def test_client_is_told_to_come_back_while_the_store_is_away(self):
-        made = settings('entry-1', NodeRole.ENTRY, self.store.address)
+    def test_client_gets_503_while_store_is_unavailable(self):
+        node_settings = settings('entry-1', NodeRole.ENTRY, self.store.address)
         self.store.trouble = Trouble.AWAY
         entry = EntryNode(
-            made, PlatformStore(made.store_address), PlatformDialect()
+            node_settings,
+            PlatformStore(node_settings.store_address),
+            PlatformDialect(),
         )
         entry.serve()
-        early = HttpConnection(made.clients_address, 1)
-        self.addCleanup(early.close)
+        client = HttpConnection(node_settings.clients_address, 1)
+        self.addCleanup(client.close)
         headers = [('Host', 'a.example'), ('X-Attempt-Id', 'id1')]
-        early.send('POST', '/x/1', headers, b'prompt', 1)
-        head, _body = self.read(early)
+        client.send('POST', '/x/1', headers, b'prompt', 1)
+        head, _body = self.read(client)
         self.assertEqual(503, head.status)
 
     @parameterized.expand(
@@ -77,15 +81,15 @@
         ]
     )
     def test_settings_without_address(self, _name, text):
-        """The program starts later, and tells what is wrong."""
-        self.assertIsNone(_opened(text))
+        """No socket is opened; the program reports the error later."""
+        self.assertIsNone(_open_socket(text))
 
     def test_no_settings(self):
         with mock.patch.dict(os.environ, {SETTINGS_VARIABLE: '/nowhere'}):
             self.assertIsNone(open_clients_socket())
 
-    def test_address_that_is_taken(self):
+    def test_address_in_use(self):
         with socket.create_server(('127.0.0.1', free_port())) as other:
             host, port = other.getsockname()
             text = f'[listen]\nfrontend = "{host}:{port}"\n'
-            self.assertIsNone(_opened(text))
+            self.assertIsNone(_open_socket(text))
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""What the client of the platform's store makes of answers."""
+"""Tests of the client of the platform's store."""
 
 import unittest
 
@@ -8,13 +8,13 @@
 
 from tests.gateway_standins import ScriptedPeer
 
-_ANSWER = (
-    'HTTP/1.1 503 Away\r\nRetry-After: {told}\r\nContent-Length: 0\r\n\r\n'
+_RESPONSE = (
+    'HTTP/1.1 503 Away\r\nRetry-After: {header}\r\nContent-Length: 0\r\n\r\n'
 )
 
 
 class RetryAfterTest(unittest.TestCase):
-    """A store that is away says when to ask again, well or badly."""
+    """Retry-After headers of an unavailable store."""
 
     @parameterized.expand(
         [
@@ -28,18 +28,18 @@
             ('empty', '', 0.1),
         ]
     )
-    def test_retry_after(self, _name, told, expected):
-        """One that could not be read ended the task that had called."""
-        peer = ScriptedPeer([lambda sock: self._answer(sock, told)])
+    def test_retry_after(self, _name, header, expected):
+        """An invalid header must not raise in the calling task."""
+        peer = ScriptedPeer([lambda sock: self._respond(sock, header)])
         self.addCleanup(peer.close)
         self._peer = peer
         failure = PlatformStore(peer.address).fetch('heads/1').err_value
         self.assertIs(FailureKind.NOT_DONE, failure.kind)
         self.assertEqual(expected, failure.retry_after)
 
-    def _answer(self, sock, told):
+    def _respond(self, sock, header):
         self._peer.read_request(sock)
-        sock.sendall(_ANSWER.format(told=told).encode())
+        sock.sendall(_RESPONSE.format(header=header).encode())
 
 
 if __name__ == '__main__':
