--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What a process believes of configuration, engines and peers."""
+"""Configuration, engines and peers as known to one process."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
@@ -1,4 +1,4 @@
-"""The configuration and the engines that this process believes in."""
+"""The active configuration and the engines found by service discovery."""
 
 import time
 from collections.abc import Callable, Collection, Mapping, Sequence
@@ -24,22 +24,20 @@
     TeamName,
 )
 
-#: An engine that left the list while the store was away is kept this long
-#: (s) after the store's return. Source: the users' second letter.
-_LAPSE_SECONDS = 2.0
+#: Engines that are missing from the list after an outage of the store are kept
+#: this long, since their entries may have expired meanwhile.
+_OUTAGE_GRACE_SECONDS = 2.0
 _MS = 1000
-#: Engines of a service that vanish together, this share of them or more, have
-#: rather lapsed than left: a held watch lives on while the store is away, and
-#: tells of all of them when it returns.
-_TOGETHER_SHARE = 0.5
-#: They are kept this long (s) to be listed again: those that live were seen
-#: back up to 1.66 s after the news. Within the 2 s in which an engine that has
-#: left must get no more work, less 0.15 s of gathering and the way of the news.
-_TOGETHER_SECONDS = 1.75
+#: If at least this share of a service's engines is removed at once, their
+#: entries probably expired during an outage that the watch did not notice.
+_MASS_REMOVAL_SHARE = 0.5
+#: How long such engines are kept. An engine that has really left must get no
+#: more work after 2 s, which include the time to gather and receive changes.
+_MASS_REMOVAL_GRACE_SECONDS = 1.75
 
 
-class _InForce(Struct, frozen=True):
-    """Hold one version with its look-ups, so that all change in one step."""
+class _ActiveConfiguration(Struct, frozen=True):
+    """One version with its indexes, replaced as a whole."""
 
     known: Configuration | None = None
     by_host: Mapping[str, Sequence[Route]] = field(default_factory=dict)
@@ -48,60 +46,60 @@
 
 
 class ConfigurationHolder:
-    """Hold the newest configuration seen; it never goes back."""
+    """Hold the latest configuration; older versions are ignored."""
 
     def __init__(self, dialect: Dialect, log: Log) -> None:
         self._dialect = dialect
         self._log = log
-        self._in_force = _InForce()
+        self._active = _ActiveConfiguration()
 
     @property
     def known(self) -> Configuration | None:
-        """Give the configuration in force here, if one is known."""
-        return self._in_force.known
+        """Return the active configuration, if there is one."""
+        return self._active.known
 
     @property
     def version(self) -> int:
-        """Give the version in force here, or 0 for none."""
+        """Return the active version, or 0 for none."""
         return self.known.version if self.known else 0
 
     @property
     def limits(self) -> ClientLimits:
-        """Give the limits for clients."""
+        """Return the limits for client connections and requests."""
         return self.known.limits if self.known else ClientLimits()
 
     @property
     def asks_for_keys(self) -> bool:
-        """Tell whether callers need the key of a team."""
+        """Return whether callers must send the key of a team."""
         return bool(self.known and self.known.teams)
 
     def team_of(self, key: KeyDigest) -> Team | None:
-        """Find the team that holds a key."""
-        return self._in_force.by_key.get(key)
+        """Return the team that a key belongs to, if any."""
+        return self._active.by_key.get(key)
 
     def team_named(self, name: TeamName) -> Team | None:
-        """Find a team by its name."""
-        return self._in_force.by_name.get(name)
+        """Return the team of a name, if configured."""
+        return self._active.by_name.get(name)
 
     def takes_jobs_of_all(self, host: str) -> bool:
-        """Tell whether jobs of a host may be called about without a key."""
+        """Return whether a host has a batch route that needs no key."""
         return any(
             route.public and route.kind is RouteKind.BATCH
-            for route in self._in_force.by_host.get(host, ())
+            for route in self._active.by_host.get(host, ())
         )
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Take the whole content of the prefix."""
+        """Apply the complete content of the prefix."""
         for entry in entries:
-            self._take(entry)
+            self._apply_entry(entry)
 
     def change(self, change: Change) -> None:
-        """Take one change."""
+        """Apply one change."""
         if not change.deleted:
-            self._take(Entry(change.key, change.version, change.body))
+            self._apply_entry(Entry(change.key, change.version, change.body))
 
     def take(self, found: Configuration, source: str) -> None:
-        """Put a configuration in force unless one as new is."""
+        """Activate a configuration unless the active one is as new."""
         if self.known and found.version <= self.version:
             self._log.event(
                 'config-older',
@@ -110,7 +108,7 @@
                 source=source,
             )
             return
-        self._in_force = _InForce(
+        self._active = _ActiveConfiguration(
             found,
             _routes_by_host(found.routes),
             _teams_by_key(found.teams),
@@ -125,13 +123,13 @@
         )
 
     def match(self, host: str, path: str) -> Route | None:
-        """Find the route of a host with the longest prefix of a path."""
-        for route in self._in_force.by_host.get(host, ()):
+        """Return the route of a host with the longest matching path prefix."""
+        for route in self._active.by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
-    def _take(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         if entry.key != self._dialect.config_key:
             return
         decoded = self._dialect.configuration(entry)
@@ -142,136 +140,136 @@
 
 
 class EngineList:
-    """Hold the engines that service discovery tells of."""
+    """Hold the engines that service discovery lists."""
 
     def __init__(
         self,
         dialect: Dialect,
         log: Log,
-        on_gone: Callable[[Engine], None],
+        on_removed: Callable[[Engine], None],
     ) -> None:
         self._dialect = dialect
         self._log = log
-        self._on_gone = on_gone
+        self._on_removed = on_removed
         self._engines: dict[EngineId, Engine] = {}
         self._ready: dict[ServiceName, list[Engine]] = {}
-        self._since: dict[EngineId, float] = {}
+        self._listed_at: dict[EngineId, float] = {}
         self._revision: dict[EngineId, int] = {}
-        self._awaited: set[EngineId] = set()
-        self._vanished: set[EngineId] = set()
+        self._expected: set[EngineId] = set()
+        self._removals: set[EngineId] = set()
 
     def ready(self, service: ServiceName) -> Sequence[Engine]:
-        """List the engines of a service that take new requests."""
+        """List the engines of a service that accept new requests."""
         return self._ready.get(service, ())
 
     def all(self) -> Sequence[Engine]:
-        """List all engines, draining ones too."""
+        """List all engines, including draining ones."""
         return list(self._engines.values())
 
     def named(self, name: EngineId) -> Engine | None:
-        """Give the engine of an id, if it is listed."""
+        """Return the engine of an id, if it is listed."""
         return self._engines.get(name)
 
     def takes_requests(self, engine: Engine) -> bool:
-        """Tell whether the same life of an engine is listed as ready."""
+        """Return whether this incarnation of an engine is listed as ready."""
         known = self._engines.get(engine.engine)
         if known is None or known.born != engine.born:
             return False
         return known.state is EngineState.READY
 
     def warming(self, engine: Engine) -> bool:
-        """Tell whether an engine is still slow from its start."""
+        """Return whether an engine is still in its warm-up time."""
         if engine.born:
             return time.time() < engine.born / _MS + engine.warmup
-        seen = self._since.get(engine.engine, 0)
-        return clock.uptime() < seen + engine.warmup
+        listed_at = self._listed_at.get(engine.engine, 0)
+        return clock.uptime() < listed_at + engine.warmup
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Take the whole list; after an outage wait for the missing."""
+        """Replace the list; after an outage keep missing engines a while."""
         listed: set[EngineId] = set()
         for entry in entries:
-            taken = self._take(entry)
-            if taken:
-                listed.add(taken)
-        missing = [one for one in self._engines if one not in listed]
+            name = self._apply_entry(entry)
+            if name:
+                listed.add(name)
+        missing = [name for name in self._engines if name not in listed]
         if after_outage:
-            self._await(missing, _LAPSE_SECONDS)
+            self._keep_for(missing, _OUTAGE_GRACE_SECONDS)
             return
-        for engine in missing:
-            self._vanish(engine)
+        for name in missing:
+            self._schedule_removal(name)
 
     def change(self, change: Change) -> None:
-        """Take one change."""
+        """Apply one change."""
         if change.deleted:
             name = EngineId(change.key.rpartition('/')[2])
             self._revision[name] = int(change.version)
             if name in self._engines:
-                self._vanish(name)
+                self._schedule_removal(name)
         else:
-            self._take(Entry(change.key, change.version, change.body))
-
-    def _vanish(self, name: EngineId) -> None:
-        """Judge what vanished once all of the same news have been read."""
-        if not self._vanished:
-            gevent.spawn(self._judge_vanished)
-        self._vanished.add(name)
-
-    def _judge_vanished(self) -> None:
-        vanished = self._vanished.intersection(self._engines)
-        self._vanished = set()
-        awaited = [
-            one for one in vanished if self._vanished_together(one, vanished)
+            self._apply_entry(Entry(change.key, change.version, change.body))
+
+    def _schedule_removal(self, name: EngineId) -> None:
+        """Remove an engine once all changes of the same batch were applied."""
+        if not self._removals:
+            gevent.spawn(self._process_removals)
+        self._removals.add(name)
+
+    def _process_removals(self) -> None:
+        removals = self._removals.intersection(self._engines)
+        self._removals = set()
+        kept = [
+            name for name in removals if self._is_mass_removal(name, removals)
         ]
-        self._await(awaited, _TOGETHER_SECONDS)
-        for engine in vanished.difference(awaited):
-            self._drop(engine, 'not listed any more')
+        self._keep_for(kept, _MASS_REMOVAL_GRACE_SECONDS)
+        for name in removals.difference(kept):
+            self._drop(name, 'removed from service discovery')
 
-    def _vanished_together(
-        self, name: EngineId, vanished: Collection[EngineId]
+    def _is_mass_removal(
+        self, name: EngineId, removals: Collection[EngineId]
     ) -> bool:
         service = self._engines[name].service
         known = [
-            one.engine
-            for one in self._engines.values()
-            if one.service == service
+            engine.engine
+            for engine in self._engines.values()
+            if engine.service == service
         ]
-        gone = sum(one in vanished for one in known)
-        together = gone > 1 or len(known) == 1
-        return together and gone >= len(known) * _TOGETHER_SHARE
+        removed = sum(engine in removals for engine in known)
+        several = removed > 1 or len(known) == 1
+        return several and removed >= len(known) * _MASS_REMOVAL_SHARE
 
-    def _await(self, missing: Collection[EngineId], seconds: float) -> None:
-        """Keep engines that may have lapsed, for some seconds."""
+    def _keep_for(self, missing: Collection[EngineId], seconds: float) -> None:
+        """Keep engines whose entries may have expired for some seconds."""
         if not missing:
             return
         self._log.event(
             'engines-awaited', engines=','.join(missing), seconds=seconds
         )
-        self._awaited.update(missing)
-        gevent.spawn_later(seconds, self._drop_lapsed, set(missing))
+        self._expected.update(missing)
+        gevent.spawn_later(seconds, self._drop_expired, set(missing))
 
-    def _drop_lapsed(self, missing: Collection[EngineId]) -> None:
-        lapsed = self._awaited.intersection(missing)
-        self._awaited -= lapsed
-        for engine in lapsed:
-            self._drop(engine, 'lapsed and did not come back')
+    def _drop_expired(self, missing: Collection[EngineId]) -> None:
+        expired = self._expected.intersection(missing)
+        self._expected -= expired
+        for name in expired:
+            self._drop(name, 'not listed again within the grace period')
 
-    def _take(self, entry: Entry) -> EngineId | None:
+    def _apply_entry(self, entry: Entry) -> EngineId | None:
         decoded = self._dialect.engine(entry)
         if isinstance(decoded, Err):
-            self._pass_over(entry, decoded.err_value)
+            self._skip_unreadable(entry, decoded.err_value)
             return None
         engine = decoded.ok_value
         known = self._engines.get(engine.engine)
         if int(entry.version) < self._revision.get(engine.engine, 0):
             return engine.engine
         self._revision[engine.engine] = int(entry.version)
-        self._awaited.discard(engine.engine)
-        self._vanished.discard(engine.engine)
+        self._expected.discard(engine.engine)
+        self._removals.discard(engine.engine)
         if known is None or known.born != engine.born:
-            self._begin_life(known, engine)
+            self._start_incarnation(known, engine)
         if known != engine:
             self._engines[engine.engine] = engine
-            self._sort()
+            self._index_ready()
             self._log.event(
                 'engine-listed',
                 engine=engine.engine,
@@ -283,19 +281,16 @@
             )
         return engine.engine
 
-    def _pass_over(self, entry: Entry, failure: Failure) -> None:
-        """Use no engine by an entry that somebody else may have written."""
+    def _skip_unreadable(self, entry: Entry, failure: Failure) -> None:
+        """Log an entry that cannot be decoded, and drop its engine."""
         name = EngineId(entry.key.rpartition('/')[2])
         self._log.event('engine-unreadable', engine=name, reason=failure)
         if name in self._engines:
-            self._drop(name, 'its entry is unreadable')
+            self._drop(name, 'entry cannot be decoded')
 
-    def _begin_life(self, known: Engine | None, engine: Engine) -> None:
-        """Start over with an engine that was started again.
-
-        Its connections, failures and pace are those of a new one.
-        """
-        self._since[engine.engine] = clock.uptime()
+    def _start_incarnation(self, known: Engine | None, engine: Engine) -> None:
+        """Record a new incarnation and drop what is known of the previous."""
+        self._listed_at[engine.engine] = clock.uptime()
         if known is not None:
             self._log.event(
                 'engine-born-again',
@@ -303,21 +298,21 @@
                 born=engine.born,
                 before=known.born,
             )
-            self._on_gone(known)
+            self._on_removed(known)
 
     def _drop(self, name: EngineId, reason: str) -> None:
         engine = self._engines.pop(name, None)
         if engine is None:
             return
-        self._since.pop(name, None)
-        self._sort()
+        self._listed_at.pop(name, None)
+        self._index_ready()
         self._log.event('engine-gone', engine=name, reason=reason)
-        self._on_gone(engine)
+        self._on_removed(engine)
 
-    def _sort(self) -> None:
+    def _index_ready(self) -> None:
         ready: dict[ServiceName, list[Engine]] = {}
         for engine in self._engines.values():
-            # One that is listed with no places can run nothing.
+            # An engine without slots cannot run requests.
             if engine.state is EngineState.READY and engine.slots > 0:
                 ready.setdefault(engine.service, []).append(engine)
         self._ready = ready
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/claims.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/claims.py
@@ -1,4 +1,4 @@
-"""Who holds which shard, by the reports of the peers that are heard."""
+"""Ownership of shards, by the reports of live peers."""
 
 from collections.abc import Callable, Sequence
 
@@ -10,7 +10,7 @@
 
 
 class Claim(Struct, frozen=True):
-    """Say who holds a shard and where to reach it."""
+    """A peer that owns a shard, or that can reach its owner."""
 
     node: NodeName
     address: str
@@ -18,63 +18,64 @@
 
 
 class Claims:
-    """Read the claims of shards from what live peers report."""
+    """Find owners of shards in the reports of live peers."""
 
     def __init__(self, live: Callable[[], Sequence[Peer]]) -> None:
         self._live = live
 
     def holder(self, shard: int) -> Claim | None:
-        """Find the live peer that holds a shard at the highest epoch."""
+        """Return the live peer that owns a shard at the highest epoch."""
         best: Claim | None = None
         for peer in self._live():
-            epoch = _epoch_of(peer, shard)
+            epoch = _owned_epoch(peer, shard)
             if best is None or epoch > best.epoch:
                 best = Claim(peer.record.node, peer.record.address, epoch)
         return best if best and best.epoch else None
 
     def way_to(self, shard: int) -> Claim | None:
-        """Find a live entry that hears the holder, which this node does not.
+        """Return a live entry that receives the reports of a shard's owner.
 
-        One that leaves may end before the holder has answered it.
+        An entry that is draining is left out: it may stop before the owner
+        has answered.
         """
         best: Claim | None = None
         for peer in self._live():
-            epoch = _epoch_passed_on(peer, shard)
+            epoch = _relayed_epoch(peer, shard)
             if best is None or epoch > best.epoch:
                 best = Claim(peer.record.node, peer.record.address, epoch)
         return best if best and best.epoch else None
 
     def claimed(self, shard: int) -> int:
-        """Give the highest epoch at which a live node holds a shard, or 0.
+        """Return the highest epoch at which a live node owns a shard, or 0.
 
-        What peers hear counts too: an owner that is cut off from this node
-        alone still holds its shards.
+        Relayed claims count too: an owner that only this node cannot reach
+        still owns its shards.
         """
         return max(
-            (_highest(peer.report, shard) for peer in self._live()),
+            (_highest_epoch(peer.report, shard) for peer in self._live()),
             default=0,
         )
 
     def holder_is_stuck(self, shard: int, epoch: int) -> bool:
-        """Tell whether the holder at an epoch says it can't write."""
+        """Return whether the owner at an epoch reports that it cannot write."""
         return any(
             peer.report is not None
             and not peer.report.sound
-            and _epoch_of(peer, shard) == epoch
+            and _owned_epoch(peer, shard) == epoch
             for peer in self._live()
         )
 
     def heard(self) -> list[HeldShard]:
-        """List the claims that this node hears itself."""
+        """List the claims in reports received from peers directly."""
         return [
-            held
+            claim
             for peer in self._live()
             if peer.report
-            for held in peer.report.shards
+            for claim in peer.report.shards
         ]
 
     def able_owners(self) -> list[NodeName]:
-        """List the live peers that can hold shards."""
+        """List the live peers that can own shards."""
         return [
             peer.record.node
             for peer in self._live()
@@ -85,13 +86,13 @@
         ]
 
 
-def _epoch_of(peer: Peer, shard: int) -> int:
-    """Give the epoch at which a peer holds a shard, or 0."""
+def _owned_epoch(peer: Peer, shard: int) -> int:
+    """Return the epoch at which a peer owns a shard, or 0."""
     return _epoch_among(peer.report.shards, shard) if peer.report else 0
 
 
-def _epoch_passed_on(peer: Peer, shard: int) -> int:
-    """Give the epoch at which an entry hears a shard held, or 0."""
+def _relayed_epoch(peer: Peer, shard: int) -> int:
+    """Return the epoch of a shard in the claims that an entry relays, or 0."""
     report = peer.report
     if report is None or peer.record.role is not NodeRole.ENTRY:
         return 0
@@ -99,18 +100,20 @@
 
 
 def _epoch_among(claims: Sequence[HeldShard], shard: int) -> int:
-    return max((one.epoch for one in claims if one.shard == shard), default=0)
+    return max(
+        (claim.epoch for claim in claims if claim.shard == shard), default=0
+    )
 
 
-def _highest(report: NodeReport | None, shard: int) -> int:
-    """Give the highest epoch of a shard that a report claims or tells of."""
+def _highest_epoch(report: NodeReport | None, shard: int) -> int:
+    """Return the highest epoch of a shard in own and relayed claims, or 0."""
     if report is None:
         return 0
     return _epoch_among((*report.shards, *report.heard), shard)
 
 
 def held_shards(epochs: dict[int, int]) -> list[HeldShard]:
-    """Make the claims of a report."""
+    """Build the list of owned shards for a report."""
     return [
         HeldShard(shard=shard, epoch=epoch) for shard, epoch in epochs.items()
     ]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -1,4 +1,4 @@
-"""All that a process knows of the engines and may use to reach them."""
+"""Configuration and engines of a process, and its connections to them."""
 
 import gevent
 from bendlead_schema.gateway import NodeReport
@@ -21,14 +21,14 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import Engine, NodeName
 
-#: Changes of the configuration and of engines are due within 2 s; a storm of
-#: them comes every 60 to 300 ms, a release takes one every 100 ms or so.
+#: Changes often come in series; they are gathered to save calls, well within
+#: the 2 s after which they must be in force.
 _GATHER_SECONDS = 0.15
 _MS = 1000
 
 
 class Fleet:
-    """Hold the configuration, the engines, and what is known of both."""
+    """Bring together configuration, engines, their load, speed and health."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         )
 
     def follow(self, engine: Engine) -> StreamPace:
-        """Follow a stream of an engine, to learn how fast that is."""
+        """Return a speed observer for a new stream of an engine."""
         name = engine.engine
         return StreamPace(
             self.pace,
@@ -88,25 +88,29 @@
 
     @property
     def refusals(self) -> Refusals:
-        """Tell which services refused requests lately."""
+        """Return the recent refusals by service."""
         return self._refusals
 
     def watcher(
         self, prefix: str, follower: Follower, gather: float = _GATHER_SECONDS
     ) -> Watcher:
-        """Make a watcher that shares its probes with the others."""
-        made = Watcher(
+        """Create a watcher that retries in turn with the others."""
+        watcher = Watcher(
             self._store, prefix, follower, self._log, self._probing, gather
         )
-        self._all_watches.append(made)
-        return made
+        self._all_watches.append(watcher)
+        return watcher
 
     def revisions(self) -> dict[str, int]:
-        """Tell peers the newest revision seen below each prefix."""
-        return {one.prefix: one.newest for one in self._watches() if one.newest}
+        """Return the latest revision seen below each prefix."""
+        return {
+            watch.prefix: watch.newest
+            for watch in self._watches()
+            if watch.newest
+        }
 
     def notice(self, report: NodeReport) -> None:
-        """Take what a peer has seen of engines and the object service."""
+        """Apply what a peer reports on engines and the object service."""
         self.pace.hear_run(report.run_ms / _MS)
         self.shared_health.receive(report.evidence)
         self._refusals.hear(NodeName(report.node), report.refused)
@@ -116,12 +120,12 @@
             self.doubt_watches(clock.uptime() - report.failed_ms / _MS)
 
     def doubt_watches(self, failed_at: float) -> None:
-        """Doubt the calls that are held since before a failure."""
+        """Restart the watch calls that began before a failure."""
         for watch in self._all_watches:
             watch.doubt(failed_at)
 
     def start(self) -> None:
-        """Follow the store from now on."""
+        """Start following the object service."""
         gevent.spawn(self.config_watch.run)
         gevent.spawn(self.engines_watch.run)
         gevent.spawn(self.suspects_watch.run)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/registration.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/registration.py
@@ -1,4 +1,4 @@
-"""List this process in the object service, where peers find it."""
+"""Registration of this process in the object service."""
 
 import random
 
@@ -10,16 +10,15 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import PeerRecord
 
-_FIRST_PAUSE = 0.2
-#: The longest pause between two tries (s), which others wait for once the
-#: object service is back; each try is paid for.
-_LAST_PAUSE = 0.8
-#: After these failures a write has surely changed nothing.
-_NOTHING_DONE = frozenset((FailureKind.NOT_DONE, FailureKind.LIMITED))
+_FIRST_PAUSE_SECONDS = 0.2
+#: Peers may learn of this process that much later after an outage.
+_MAX_PAUSE_SECONDS = 0.8
+#: Failures after which a write has certainly not taken effect.
+_NOT_WRITTEN = frozenset((FailureKind.NOT_DONE, FailureKind.LIMITED))
 
 
 class Registration:
-    """Write the record of this process unless it is there already."""
+    """Keep the record of this process in the object service."""
 
     def __init__(
         self,
@@ -35,7 +34,7 @@
         self.key = f'{dialect.peers_prefix}{own.node}'
 
     def check(self, present: Entry | None) -> None:
-        """Write the record in a task of its own if another is listed."""
+        """Start writing the record if it is missing or differs."""
         if present is None or self._differs(present):
             gevent.spawn(self._write, present)
 
@@ -45,7 +44,7 @@
 
     def _write(self, present: Entry | None) -> None:
         body = self._dialect.encode_peer(self._own)
-        pause = _FIRST_PAUSE
+        pause = _FIRST_PAUSE_SECONDS
         while present is None or self._differs(present):
             version = present.version if present else ABSENT
             written = self._store.put(self.key, body, version)
@@ -53,7 +52,7 @@
                 self._log.event('registered', address=self._own.address)
                 return
             gevent.sleep(pause * (1 + random.random()))
-            pause = min(_LAST_PAUSE, pause * 2)
-            if written.err_value.kind not in _NOTHING_DONE:
+            pause = min(_MAX_PAUSE_SECONDS, pause * 2)
+            if written.err_value.kind not in _NOT_WRITTEN:
                 found = self._store.fetch(self.key)
                 present = found.unwrap_or(present)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/watcher.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/watcher.py
@@ -1,4 +1,4 @@
-"""Follow one prefix of the object service for as long as the process runs."""
+"""Watch of one prefix of the object service."""
 
 import random
 from collections.abc import Sequence
@@ -19,37 +19,33 @@
 
 from bendlead_gateway._log import Log
 
-#: How long one call may wait for a change (s); the platform's store allows 30.
-#: Each call is paid for, and a connection that died silently is noticed by its
-#: keep-alive probes.
-_HELD_SECONDS = 29.0
-#: Away for longer than this (s), the service may have let entries of live
-#: engines lapse. A watch that was merely cut is listed again within it, and
-#: what is missing then has left.
+#: How long one call waits for changes; the platform's store allows 30.
+_CALL_SECONDS = 29.0
+#: After a longer outage, entries of live engines may have expired. After a
+#: shorter one, entries that are missing were removed.
 _OUTAGE_SECONDS = 1.0
-_FIRST_PAUSE = 0.05
-_LAST_PAUSE = 0.4
-#: A change that a peer has seen and this process has not, for this long (s),
-#: will not come by the call that is held: its connection is open and says
-#: nothing more. News takes some ms, and is gathered for 0.15 s.
+_FIRST_PAUSE_SECONDS = 0.05
+_MAX_PAUSE_SECONDS = 0.4
+#: If a peer has seen a change for this long and this process has not, the
+#: connection of the waiting call is dead.
 _BEHIND_SECONDS = 0.6
-#: A watch is listed again after an outage that others noticed once in this
-#: time (s): each process that is turned away alone has an outage of its own.
-_DOUBT_SECONDS = 3.0
+#: Minimum time between two restarts after failures that peers report: each
+#: process may have outages of its own.
+_MIN_RESTART_INTERVAL_SECONDS = 3.0
 
 
 class Follower(Protocol):
-    """Take what a prefix holds, whole and then by changes."""
+    """Receiver of the content of a prefix and its changes."""
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Take the whole content of the prefix."""
+        """Apply the complete content of the prefix."""
 
     def change(self, change: Change) -> None:
-        """Take one change."""
+        """Apply one change."""
 
 
 class Watcher:
-    """Keep one follower up to date and tell how sure it may be."""
+    """Keep a follower up to date with a prefix."""
 
     def __init__(
         self,
@@ -60,9 +56,10 @@
         probing: Semaphore,
         gather: float,
     ) -> None:
-        """Follow a prefix; gather seconds pass from changes to the next call.
+        """Watch a prefix.
 
-        Changes come in series, and each call that they answer is paid for.
+        After changes the next call waits for gather seconds, so that a series
+        of changes takes few calls.
         """
         self._store = store
         self._probing = probing
@@ -72,60 +69,63 @@
         self._log = log
         self._as_of = Version(0)
         self._newest = 0
-        self._told = 0
-        self._told_at = 0.0
+        self._peer_revision = 0
+        self._peer_revision_at = 0.0
         self._call: gevent.Greenlet | None = None
         self._called_at = 0.0
-        self._doubted_at = 0.0
+        self._restarted_at = 0.0
         self._current = False
-        self._pause = _FIRST_PAUSE
+        self._pause = _FIRST_PAUSE_SECONDS
         self._lost_at = 0.0
 
     @property
     def current(self) -> bool:
-        """Tell whether nothing has failed since the last answer."""
+        """Return whether the follower has the content of the prefix."""
         return self._current
 
     @property
     def holding(self) -> bool:
-        """Tell whether a call waits for changes now."""
+        """Return whether a call is waiting for changes."""
         return self._call is not None
 
     @property
     def newest(self) -> int:
-        """Give the newest revision of what was seen below the prefix."""
+        """Return the latest revision seen below the prefix."""
         return self._newest
 
     def notice(self, revision: int) -> None:
-        """Take the newest revision that a peer has seen below the prefix."""
+        """Restart the call if it is behind a revision that a peer has seen."""
         now = clock.uptime()
-        if revision <= self._as_of or revision < self._told:
+        if revision <= self._as_of or revision < self._peer_revision:
             return
-        if revision > self._told:
-            self._told = revision
-            self._told_at = now
-        if now - self._told_at > _BEHIND_SECONDS and self._call is not None:
-            self._drop_call('watch-behind', seen_by_peer=revision)
+        if revision > self._peer_revision:
+            self._peer_revision = revision
+            self._peer_revision_at = now
+        if (
+            now - self._peer_revision_at > _BEHIND_SECONDS
+            and self._call is not None
+        ):
+            self._restart_call('watch-behind', seen_by_peer=revision)
 
     def doubt(self, failed_at: float) -> None:
-        """List again if the call is held since before an outage that is over.
+        """Restart the call if it began before a failure that is over.
 
-        Its connection may be one that stays open and says nothing more.
+        Its connection may be dead although it is still open.
         """
         now = clock.uptime()
-        rested = now - self._doubted_at > _DOUBT_SECONDS
-        if rested and self._call is not None and self._called_at < failed_at:
-            self._doubted_at = now
-            self._drop_call('watch-doubted', held=now - self._called_at)
+        allowed = now - self._restarted_at > _MIN_RESTART_INTERVAL_SECONDS
+        if allowed and self._call is not None and self._called_at < failed_at:
+            self._restarted_at = now
+            self._restart_call('watch-doubted', held=now - self._called_at)
 
     def run(self) -> None:
-        """List, then follow, for ever."""
+        """List and follow the prefix forever."""
         while True:
             if self._current:
                 self._follow()
             elif self._lost_at:
-                # While the service is away one watcher of a process asks
-                # for all of them: each call is paid for, refused ones too.
+                # During an outage only one watcher of a process retries at a
+                # time, since failed calls are charged for as well.
                 with self._probing:
                     self._list()
             else:
@@ -137,28 +137,28 @@
             self._fail(listed.err_value)
             return
         listing = listed.ok_value
-        away = clock.uptime() - self._lost_at if self._lost_at else 0
-        self._follower.reset(listing.entries, away > _OUTAGE_SECONDS)
+        outage = clock.uptime() - self._lost_at if self._lost_at else 0
+        self._follower.reset(listing.entries, outage > _OUTAGE_SECONDS)
         self._as_of = listing.as_of
-        self._see([int(entry.version) for entry in listing.entries])
-        self._regain(len(listing.entries), away)
+        self._update_newest([int(entry.version) for entry in listing.entries])
+        self._on_listed(len(listing.entries), outage)
 
-    def _regain(self, count: int, away: float) -> None:
+    def _on_listed(self, count: int, outage: float) -> None:
         self._log.event(
             'watch-regained',
             prefix=self.prefix,
             entries=count,
             as_of=self._as_of,
-            away=round(away, 3),
+            away=round(outage, 3),
         )
         self._current = True
         self._lost_at = 0
-        self._pause = _FIRST_PAUSE
+        self._pause = _FIRST_PAUSE_SECONDS
 
     def _follow(self) -> None:
         self._called_at = clock.uptime()
         self._call = gevent.spawn(
-            self._store.follow, self.prefix, self._as_of, _HELD_SECONDS
+            self._store.follow, self.prefix, self._as_of, _CALL_SECONDS
         )
         followed = self._call.get()
         self._call = None
@@ -171,18 +171,18 @@
         changes = followed.ok_value.changes
         for change in changes:
             self._follower.change(change)
-        self._see([int(change.version) for change in changes])
+        self._update_newest([int(change.version) for change in changes])
         self._as_of = max(self._as_of, followed.ok_value.as_of)
         if changes:
             gevent.sleep(self._gather)
 
-    def _drop_call(self, event: str, **why: float) -> None:
-        self._log.event(event, prefix=self.prefix, as_of=self._as_of, **why)
+    def _restart_call(self, event: str, **fields: float) -> None:
+        self._log.event(event, prefix=self.prefix, as_of=self._as_of, **fields)
         if self._call is not None:
             self._call.kill(block=False)
             self._call = None
 
-    def _see(self, revisions: Sequence[int]) -> None:
+    def _update_newest(self, revisions: Sequence[int]) -> None:
         self._newest = max([self._newest, *revisions])
 
     def _fail(self, failure: Failure) -> None:
@@ -195,4 +195,4 @@
             self._log.event('watch-lost', prefix=self.prefix, reason=failure)
         pause = self._pause * (0.5 + random.random())
         gevent.sleep(max(failure.retry_after, pause))
-        self._pause = min(_LAST_PAUSE, self._pause * 2)
+        self._pause = min(_MAX_PAUSE_SECONDS, self._pause * 2)
--- a/tests/test_gateway_passed_on.py
+++ b/tests/test_gateway_passed_on.py
@@ -75,7 +75,7 @@
         self.configure(3, [_KEY])
         held = self.other.fleet.configuration
         eventually(lambda: held.version == 3, 2)
-        self.entry.fleet.configuration._in_force = type(held._in_force)()
+        self.entry.fleet.configuration._active = type(held._active)()
         gevent.sleep(0.3)
         self.assertEqual(3, held.version)
         self.assertEqual(200, self.status())
