--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_calls.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_calls.py
@@ -1,4 +1,4 @@
-"""Put calls of the object service into messages between peers, and back."""
+"""Messages by which a peer makes a call of the object service."""
 
 import base64
 
@@ -14,21 +14,24 @@
 from result import Err, Ok, Result
 
 STORE_PATH = '/peer/store'
-_CALL = msgspec.json.Decoder(StoreCall)
+_CALL_DECODER = msgspec.json.Decoder(StoreCall)
 
-#: What a call gave: the value that was read, the version that was written, or
-#: nothing where the key is absent.
+#: The entry that was read, the version that was written, or None if the key
+#: does not exist.
 Outcome = Result[Entry | Version | None, Failure]
 
 
 def answer_call(store: FollowedStore, body: bytes) -> bytes:
-    """Make a call for a peer; the object service answers it or nobody."""
-    outcome = perform(store, _CALL.decode(body))
+    """Make a call for a peer directly, without failover to another one."""
+    outcome = perform(store, _CALL_DECODER.decode(body))
     return msgspec.json.encode(write_outcome(outcome))
 
 
 def perform(store: FollowedStore, call: StoreCall) -> Outcome:
-    """Make a call of the object service."""
+    """Make a call of the object service.
+
+    Raises ValueError if the body is not valid base64.
+    """
     expected = Version(call.expected)
     if call.operation is StoreOperation.fetch:
         return store.fetch(call.key)
@@ -41,7 +44,7 @@
 
 
 def write_outcome(outcome: Outcome) -> StoreAnswer:
-    """Tell a peer what its call gave."""
+    """Convert an outcome to a message."""
     if isinstance(outcome, Err):
         failure = outcome.err_value
         return StoreAnswer(
@@ -49,15 +52,18 @@
             detail=failure.detail,
             retry_after=failure.retry_after,
         )
-    given = outcome.ok_value
-    if isinstance(given, Entry):
-        body = base64.b64encode(given.body).decode()
-        return StoreAnswer(version=int(given.version), found=True, body=body)
-    return StoreAnswer(version=int(given or 0))
+    success = outcome.ok_value
+    if isinstance(success, Entry):
+        body = base64.b64encode(success.body).decode()
+        return StoreAnswer(version=int(success.version), found=True, body=body)
+    return StoreAnswer(version=int(success or 0))
 
 
 def read_outcome(call: StoreCall, answer: StoreAnswer, peer: str) -> Outcome:
-    """Read what a call by way of a peer gave; raise ValueError if it can't."""
+    """Convert a peer's message to an outcome.
+
+    Raises ValueError if the failure kind or the body is invalid.
+    """
     if answer.failure:
         kind = FailureKind(answer.failure)
         return Err(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/survey.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/survey.py
@@ -1,7 +1,7 @@
-"""Find out which peers are not heard, and ask others for news of them.
+"""Choice of peers to ask for relayed reports of nodes that are missing.
 
-News of a process goes to another hall over few links. While these are cut, or
-those at their ends are gone, whoever hears the process is asked instead.
+Reports cross between data halls over few links. While these links are down,
+other peers are asked for the reports that should have come over them.
 """
 
 import random
@@ -15,28 +15,27 @@
 from bendlead_gateway._fleet.peer import Peer
 from bendlead_gateway.types import DataHall, NodeName
 
-#: A peer that falls silent may only be cut off for this long (s).
+#: How long reports of a peer that sends none are requested from others.
 CUT_SECONDS = 60.0
-#: How many peers are asked, and how often (s) others are chosen.
-_WITNESSES = 2
-_SURVEY_SECONDS = 0.25
-#: Counts are told anew every 0.5 s and count for 1.5 s; those of another hall
-#: that are as old as this (s) come no more by the way they should.
+_PEERS_TO_ASK = 2
+#: After this time other peers are chosen.
+_REFRESH_SECONDS = 0.25
+#: Load reports of another hall are due every 0.5 s and expire after 1.5 s.
 _OVERDUE_SECONDS = 1.0
-#: Nodes that one report asks for; others are drawn for the next.
-_MOST_ASKED = 16
+#: A report requests at most this many nodes, chosen at random.
+_MAX_MISSING = 16
 
 
-class _Found(Struct, frozen=True):
-    """Keep who is not heard, and who is asked for news of them."""
+class _Selection(Struct, frozen=True):
+    """The missing nodes and the peers that are asked for them."""
 
-    made: float = 0
-    missed: Sequence[str] = ()
-    witnesses: Collection[NodeName] = ()
+    made_at: float = 0
+    missing: Sequence[str] = ()
+    asked: Collection[NodeName] = ()
 
 
 class Survey:
-    """Choose now and then whom to ask for whom."""
+    """Choose at intervals which peers are asked for which nodes."""
 
     def __init__(
         self,
@@ -47,42 +46,46 @@
         self._hall = hall
         self._peers = peers
         self._loads = loads
-        self._found = _Found()
+        self._selection = _Selection()
 
     def missed_by(self, node: NodeName) -> list[str]:
-        """List the nodes for which a peer is asked."""
+        """List the missing nodes whose reports are requested from a peer."""
         now = clock.uptime()
-        if now - self._found.made > _SURVEY_SECONDS:
-            self._found = self._look(now)
-        return list(self._found.missed) if node in self._found.witnesses else []
+        if now - self._selection.made_at > _REFRESH_SECONDS:
+            self._selection = self._select(now)
+        return (
+            list(self._selection.missing)
+            if node in self._selection.asked
+            else []
+        )
 
-    def _look(self, now: float) -> _Found:
-        near = [
+    def _select(self, now: float) -> _Selection:
+        close = [
             node
             for node, peer in self._peers.items()
             if peer.link is Link.CLOSE and not peer.is_down
         ]
-        chosen = random.sample(near, min(_WITNESSES, len(near)))
-        missed = list(self._missed(now))
-        if len(missed) > _MOST_ASKED:
-            missed = random.sample(missed, _MOST_ASKED)
-        return _Found(now, missed, frozenset(chosen))
+        chosen = random.sample(close, min(_PEERS_TO_ASK, len(close)))
+        missing = list(self._missing_nodes(now))
+        if len(missing) > _MAX_MISSING:
+            missing = random.sample(missing, _MAX_MISSING)
+        return _Selection(now, missing, frozenset(chosen))
 
-    def _missed(self, now: float) -> Iterable[str]:
-        """Find the peers that may run requests and are not heard here."""
-        cut = now - CUT_SECONDS
+    def _missing_nodes(self, now: float) -> Iterable[str]:
+        """Yield the peers that may run requests but send no reports."""
+        oldest = now - CUT_SECONDS
         for node, peer in self._peers.items():
             if peer.link is not Link.CLOSE:
                 if self._is_overdue(peer):
                     yield node
             elif (
                 peer.loads_overdue
-                and max(peer.last_report_at, peer.listed_at) > cut
+                and max(peer.last_report_at, peer.listed_at) > oldest
             ):
                 yield node
 
     def _is_overdue(self, peer: Peer) -> bool:
-        """Tell whether counts of a peer of another hall stay away."""
+        """Return whether load reports of a peer in another hall are overdue."""
         if peer.record.hall == self._hall:
             return False
         age = self._loads.age_of(peer.record.node)
