--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -1,4 +1,4 @@
-"""Tell what is known of the engines of a service, and choose among them."""
+"""Selection of an engine for a request, from all that is known of them."""
 
 import random
 from collections.abc import Collection, Sequence
@@ -25,11 +25,11 @@
     ServiceShare,
 )
 
-_NOTHING_FOUND = HealthAssessment()
+_NO_ASSESSMENT = HealthAssessment()
 
 
 class Balancer:
-    """Bring together what this process knows of each engine."""
+    """Build views of engines and choose among them."""
 
     def __init__(
         self,
@@ -49,32 +49,32 @@
 
     @property
     def traffic(self) -> Traffic:
-        """Tell how long requests run, and how old news of them are."""
+        """Return how long requests run and how old peers' load reports are."""
         return Traffic(self._pace.run_seconds, self._loads.delay)
 
     def views(
         self, service: ServiceName, tried: Collection[EngineId] = ()
     ) -> list[EngineView]:
-        """Show the engines that take new requests and were not tried."""
+        """List the engines that accept new requests and were not tried."""
         return [
-            self.view(one)
-            for one in self._engines.ready(service)
-            if one.engine not in tried
+            self.view(engine)
+            for engine in self._engines.ready(service)
+            if engine.engine not in tried
         ]
 
     def view(self, engine: Engine) -> EngineView:
-        """Show what is known of one engine now."""
+        """Return the current load, speed and health of one engine."""
         name = engine.engine
         busy_since = self._loads.own_busy_since(name)
         if self._shared is None:
-            found = _NOTHING_FOUND
+            assessment = _NO_ASSESSMENT
             paused = self._health.paused(name)
         else:
-            found = self._shared.assess(engine)
-            paused = found.out_of_rotation
+            assessment = self._shared.assess(engine)
+            paused = assessment.out_of_rotation
         return EngineView(
             engine,
-            online=self._loads.online(name) + found.failure_load,
+            online=self._loads.online(name) + assessment.failure_load,
             batch=self._loads.batch(name),
             non_preemptible=self._loads.non_preemptible(name),
             event_gap=self._pace.gap(name),
@@ -84,7 +84,7 @@
             silent=self._health.silent(name, busy_since),
             warming=self._engines.warming(engine),
             paused=paused,
-            doubted=found.state is HealthState.DOUBTED,
+            doubted=assessment.state is HealthState.DOUBTED,
         )
 
     def choose(
@@ -96,35 +96,36 @@
     ) -> Placement | None:
         """Choose an engine for an online request.
 
-        What may be sent once tries no engine that is doubted.
+        Set once for a request that cannot be retried: it is not used as a
+        trial and avoids suspected engines.
         """
         views = self.views(service, tried)
         if self._shared is not None:
-            tried_now = None if once else self._shared.start_trial(views)
-            if tried_now is not None:
-                return Placement(tried_now, 0)
+            trial = None if once else self._shared.start_trial(views)
+            if trial is not None:
+                return Placement(trial, 0)
             views = list(prefer_trusted(views, once=once))
         return choose_engine(views, self.traffic, random.random)
 
     def take_trial(self, service: ServiceName) -> EngineView | None:
-        """Take an engine that an item is to try now, if there is one."""
+        """Return an engine that is due for a trial by a batch item, if any."""
         if self._shared is None or not self._shared.any_failures:
             return None
         return self._shared.start_trial(self.views(service))
 
     def wait(self, service: ServiceName) -> float | None:
-        """Give the wait (s) of one more online request, if any is taken."""
-        # Nobody goes there now, so no trial is taken.
-        placed = self.choose(service, (), once=True)
-        return placed.wait if placed else None
+        """Estimate the wait (s) of a further request; None without engines."""
+        # No request is sent, so no trial may be started.
+        placement = self.choose(service, (), once=True)
+        return placement.wait if placement else None
 
 
 def pick_service(route: Route) -> ServiceName:
-    """Pick a service of a route by weight."""
+    """Choose a service of a route at random by weight."""
     shares: Sequence[ServiceShare] = route.shares
     if len(shares) == 1:
         return shares[0].service
-    weights = [max(0, one.weight) for one in shares]
+    weights = [max(0, share.weight) for share in shares]
     if not any(weights):
         weights = [1 for _share in shares]
     return random.choices(shares, weights)[0].service
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/health.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/health.py
@@ -1,77 +1,77 @@
-"""How engines did with real requests: failures and pauses."""
+"""Passive health of engines, from the outcome of requests."""
 
 from bendlead_store import clock
 from msgspec import Struct
 
 from bendlead_gateway.types import EngineId
 
-#: First and longest pause of an engine that fails (s).
-_FIRST_PAUSE = 0.5
-_LAST_PAUSE = 4.0
-#: Failures in a row after which an engine is paused, unless it refused the
-#: connection, which pauses it at once.
-_FAILURES = 2
-#: An engine that works for us and sends nothing on any connection for this
-#: long (s) is dark or full; events come every 20 ms.
+#: Backoff of an engine that fails.
+_FIRST_PAUSE_SECONDS = 0.5
+_MAX_PAUSE_SECONDS = 4.0
+#: Consecutive failures after which an engine is paused. One that is
+#: unreachable is paused at once.
+_FAILURE_THRESHOLD = 2
+#: An engine with running requests that sends nothing on any connection for
+#: this long is unresponsive or overloaded.
 _SILENT_SECONDS = 0.25
 
 
 class _Record(Struct):
-    """Keep how one engine did."""
+    """The recent outcomes of one engine."""
 
     failures: int = 0
     paused_until: float = 0
-    pause: float = _FIRST_PAUSE
-    heard: float = 0
+    pause: float = _FIRST_PAUSE_SECONDS
+    last_activity_at: float = 0
 
 
 class EngineHealth:
-    """Remember how each engine did, from its answers alone."""
+    """Track failures and backoff of each engine."""
 
     def __init__(self) -> None:
         self._records: dict[EngineId, _Record] = {}
 
     def paused(self, engine: EngineId) -> bool:
-        """Tell whether an engine is left alone for now."""
+        """Return whether an engine gets no requests for now."""
         record = self._records.get(engine)
         return bool(record) and clock.uptime() < record.paused_until
 
     def heard(self, engine: EngineId) -> None:
-        """Note that bytes of an answer came."""
-        self._record(engine).heard = clock.uptime()
+        """Record that bytes of a response arrived."""
+        self._record(engine).last_activity_at = clock.uptime()
 
     def heard_at(self, engine: EngineId) -> float:
-        """Tell when bytes of an answer came last (s), 0 for never."""
+        """Return when bytes last arrived (uptime, s), or 0 for never."""
         record = self._records.get(engine)
-        return record.heard if record else 0
+        return record.last_activity_at if record else 0
 
     def silent(self, engine: EngineId, busy_since: float | None) -> bool:
-        """Tell whether an engine at work for us has sent nothing lately."""
+        """Return whether an engine with running requests stopped sending."""
         if busy_since is None:
             return False
         record = self._records.get(engine)
-        latest = max(busy_since, record.heard if record else 0)
-        return clock.uptime() - latest > _SILENT_SECONDS
+        active_at = max(busy_since, record.last_activity_at if record else 0)
+        return clock.uptime() - active_at > _SILENT_SECONDS
 
     def succeeded(self, engine: EngineId) -> None:
-        """Note a whole answer."""
+        """Record a complete response and end the backoff."""
         record = self._record(engine)
         record.failures = 0
-        record.pause = _FIRST_PAUSE
+        record.pause = _FIRST_PAUSE_SECONDS
         record.paused_until = 0
 
     def failed(self, engine: EngineId, unreachable: bool = False) -> bool:
-        """Note a failed answer; tell whether the engine is paused now."""
+        """Record a failed request; return whether the engine is paused now."""
         record = self._record(engine)
         record.failures += 1
-        if record.failures < _FAILURES and not unreachable:
+        if record.failures < _FAILURE_THRESHOLD and not unreachable:
             return False
         record.paused_until = clock.uptime() + record.pause
-        record.pause = min(_LAST_PAUSE, record.pause * 2)
+        record.pause = min(_MAX_PAUSE_SECONDS, record.pause * 2)
         return True
 
     def forget(self, engine: EngineId) -> None:
-        """Forget an engine that is gone."""
+        """Remove an engine that is no longer listed."""
         self._records.pop(engine, None)
 
     def _record(self, engine: EngineId) -> _Record:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace.py
@@ -1,4 +1,4 @@
-"""How fast engines answer, as seen from their answers alone."""
+"""Speed of engines, measured from their response streams."""
 
 from collections.abc import Callable
 
@@ -8,72 +8,73 @@
 from bendlead_gateway._scheduling.speed_estimates import SpeedEstimate
 from bendlead_gateway.types import Engine, EngineId
 
-#: Weight of the newest value in a moving average.
-_NEWEST = 0.15
-#: The same for what a peer tells, which is smooth already and comes often.
-_PEERS_NEWEST = 0.02
-#: A stream with fewer events behind its first says little of its engine.
-_LEAST_EVENTS = 4
+_SMOOTHING_FACTOR = 0.15
+#: Values from peers are smoothed already and arrive often.
+_PEER_SMOOTHING_FACTOR = 0.02
+#: Streams with fewer events after the first are not used.
+_MIN_EVENTS = 4
 _EVENT_END = b'\n\n'
 
-#: Takes what this process found of an engine.
+#: Called with each new estimate of this process.
 OnFinding = Callable[[Engine, SpeedEstimate], None]
 
 
-def _tell_nobody(engine: Engine, finding: SpeedEstimate) -> None:
-    """Keep what is found to this process."""
+def _ignore_estimate(engine: Engine, estimate: SpeedEstimate) -> None:
+    """Discard an estimate."""
 
 
 class PaceTable:
-    """Remember the pace of each engine, and how long requests run."""
+    """Track the speed of each engine and the run time of requests."""
 
     def __init__(self) -> None:
         self._gaps: dict[EngineId, float] = {}
         self.speeds = EngineSpeeds()
-        self.on_finding: OnFinding = _tell_nobody
-        #: Smoothed seconds for which a request holds its place.
+        self.on_finding: OnFinding = _ignore_estimate
+        #: Smoothed time for which a request uses its slot.
         self.run_seconds = 0.0
 
     def gap(self, engine: EngineId) -> float:
-        """Give the smoothed seconds between events, or 0 if unknown."""
+        """Return the smoothed time between events (s), or 0 if unknown."""
         return self._gaps.get(engine, 0)
 
     def observe_gap(self, engine: EngineId, seconds: float) -> None:
-        """Take the time between two events of a stream."""
+        """Add the time between two events of a stream."""
         gap = self._gaps.get(engine) or seconds
-        self._gaps[engine] = gap + (seconds - gap) * _NEWEST
+        self._gaps[engine] = gap + (seconds - gap) * _SMOOTHING_FACTOR
 
     def observe_run(self, seconds: float) -> None:
-        """Take the time from the first event of a stream to its last."""
+        """Add the time from the first event of a stream to its last."""
         if not self.run_seconds:
             self.run_seconds = seconds
-        self.run_seconds += (seconds - self.run_seconds) * _NEWEST
+        self.run_seconds += (seconds - self.run_seconds) * _SMOOTHING_FACTOR
 
     def hear_run(self, seconds: float) -> None:
-        """Take a peer's smoothed time, for those who run few requests."""
+        """Add a peer's smoothed run time, for processes with few requests."""
         if seconds > 0:
             if not self.run_seconds:
                 self.run_seconds = seconds
-            self.run_seconds += (seconds - self.run_seconds) * _PEERS_NEWEST
+            self.run_seconds += (
+                seconds - self.run_seconds
+            ) * _PEER_SMOOTHING_FACTOR
 
     def slowness(self, engine: Engine) -> float:
-        """Give how many times the usual time a request runs there."""
+        """Return the run time on an engine relative to the usual one."""
         return self.speeds.slowness(engine, clock.uptime())
 
     def stall(self, engine: Engine) -> float:
-        """Give how many times longer still an event takes right now."""
+        """Return the further factor by which events are slower just now."""
         return self.speeds.stall(engine, clock.uptime())
 
     def forget(self, engine: Engine) -> None:
-        """Forget a life of an engine that is over."""
+        """Remove an engine incarnation that has ended."""
         self._gaps.pop(engine.engine, None)
         self.speeds.forget(engine)
 
 
 class StreamPace:
-    """Learn the speed of an engine from one of its streams.
+    """Measure the speed of an engine on one of its streams.
 
-    An engine that warms up shows nothing of its later speed.
+    Streams of an engine in its warm-up time are not used.
     """
 
     def __init__(
@@ -88,42 +89,42 @@
         self._engine = engine
         self._running = running
         self._warming = warming
-        self._first = 0.0
-        self._last = 0.0
-        #: Events behind the first, and the requests that ran at each part.
+        self._first_at = 0.0
+        self._last_at = 0.0
+        #: Events after the first, chunks, and sum of running requests.
         self._events = 0
-        self._parts = 0
-        self._loads = 0
+        self._chunks = 0
+        self._running_sum = 0
 
     def take(self, part: bytes, now: float) -> None:
-        """Take a part of the stream, which may hold several events."""
+        """Add a chunk of the stream, which may contain several events."""
         if self._warming:
             return
-        if not self._first:
-            self._first = now
-            self._last = now
+        if not self._first_at:
+            self._first_at = now
+            self._last_at = now
             return
         events = part.count(_EVENT_END)
         if not events:
             return
         running = self._running()
         self._events += events
-        self._parts += 1
-        self._loads += running
+        self._chunks += 1
+        self._running_sum += running
         self._pace.speeds.observe_event(
-            self._engine, (now - self._last) / events, running, now
+            self._engine, (now - self._last_at) / events, running, now
         )
-        self._last = now
+        self._last_at = now
 
     def end(self) -> None:
-        """Learn from the stream, which is whole."""
-        if self._events < _LEAST_EVENTS:
+        """Update the estimate of the engine at the end of a complete stream."""
+        if self._events < _MIN_EVENTS:
             return
-        found = self._pace.speeds.observe_stream(
+        estimate = self._pace.speeds.observe_stream(
             self._engine,
-            (self._last - self._first) / self._events,
-            round(self._loads / self._parts),
-            self._last,
+            (self._last_at - self._first_at) / self._events,
+            round(self._running_sum / self._chunks),
+            self._last_at,
         )
-        if found is not None:
-            self._pace.on_finding(self._engine, found)
+        if estimate is not None:
+            self._pace.on_finding(self._engine, estimate)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pool.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pool.py
@@ -1,4 +1,4 @@
-"""Keep connections to engines for the next request."""
+"""Keep-alive connections to engines."""
 
 from bendlead_store import clock
 from msgspec import Struct, field
@@ -6,39 +6,39 @@
 from bendlead_gateway._http.client import HttpConnection
 from bendlead_gateway.types import Engine, EngineId
 
-#: A new connection gets this long (s), half of the shortest aim: engines are a
-#: few ms away, and one that does not answer is passed over while the aim can
-#: still be met.
-_CONNECT_SECONDS = 0.15
-#: Use no connection that has rested longer than this share of the time an
-#: engine keeps it, nor longer than the default (s): engines drop idle
-#: connections early and silently, and a request sent on one is lost, while
-#: opening another costs a millisecond.
-_IDLE_SHARE = 0.6
-_IDLE_SECONDS = 1.0
-_KEPT_PER_ENGINE = 24
+#: Half of the shortest latency target, so that another engine can still meet
+#: it if the first does not accept the connection.
+_CONNECT_TIMEOUT_SECONDS = 0.15
+#: Idle connections are closed well before the engine's own idle timeout:
+#: engines drop them early and silently, and a request sent on one is lost.
+_IDLE_TIMEOUT_SHARE = 0.6
+_MAX_IDLE_SECONDS = 1.0
+_MAX_IDLE_PER_ENGINE = 24
 
 
-class _Rested(Struct):
+class _IdleConnection(Struct):
     connection: HttpConnection
-    until: float
+    expires_at: float
 
 
 class EnginePool(Struct):
-    """Lend connections; the one used last goes out first."""
+    """Pool of idle connections; the most recently used is taken first."""
 
-    _kept: dict[EngineId, list[_Rested]] = field(default_factory=dict)
+    _idle: dict[EngineId, list[_IdleConnection]] = field(default_factory=dict)
 
     def take(self, engine: Engine) -> HttpConnection:
-        """Lend a kept connection or open one, or raise OSError."""
+        """Return an idle connection or open one.
+
+        Raises OSError if the engine cannot be connected to.
+        """
         now = clock.uptime()
-        kept = self._kept.get(engine.engine, [])
-        while kept:
-            rested = kept.pop()
-            if rested.until > now and rested.connection.is_idle:
-                return rested.connection
-            rested.connection.close()
-        return HttpConnection(engine.address, _CONNECT_SECONDS)
+        idle = self._idle.get(engine.engine, [])
+        while idle:
+            entry = idle.pop()
+            if entry.expires_at > now and entry.connection.is_idle:
+                return entry.connection
+            entry.connection.close()
+        return HttpConnection(engine.address, _CONNECT_TIMEOUT_SECONDS)
 
     def give_back(
         self,
@@ -46,31 +46,33 @@
         connection: HttpConnection,
         idle_seconds: float | None,
     ) -> None:
-        """Keep a connection whose answer was read whole."""
-        kept = self._kept.setdefault(engine.engine, [])
-        if not connection.reusable or len(kept) >= _KEPT_PER_ENGINE:
+        """Return a connection whose response was read completely."""
+        idle = self._idle.setdefault(engine.engine, [])
+        if not connection.reusable or len(idle) >= _MAX_IDLE_PER_ENGINE:
             connection.close()
             return
-        rest = _IDLE_SECONDS
+        seconds = _MAX_IDLE_SECONDS
         if idle_seconds is not None:
-            rest = min(rest, idle_seconds * _IDLE_SHARE)
-        kept.append(_Rested(connection, clock.uptime() + rest))
+            seconds = min(seconds, idle_seconds * _IDLE_TIMEOUT_SHARE)
+        idle.append(_IdleConnection(connection, clock.uptime() + seconds))
 
     def forget(self, engine: EngineId) -> None:
-        """Close the kept connections of an engine that is gone."""
-        for rested in self._kept.pop(engine, ()):
-            rested.connection.close()
+        """Close the idle connections of an engine."""
+        for entry in self._idle.pop(engine, ()):
+            entry.connection.close()
 
     def forget_all(self) -> None:
-        """Close all kept connections."""
-        for engine in list(self._kept):
+        """Close all idle connections."""
+        for engine in list(self._idle):
             self.forget(engine)
 
     def close_expired(self) -> None:
-        """Close the connections that have rested too long."""
+        """Close the connections that were idle for too long."""
         now = clock.uptime()
-        for engine, kept in list(self._kept.items()):
-            for rested in kept:
-                if rested.until <= now:
-                    rested.connection.close()
-            self._kept[engine] = [one for one in kept if one.until > now]
+        for engine, idle in list(self._idle.items()):
+            for entry in idle:
+                if entry.expires_at <= now:
+                    entry.connection.close()
+            self._idle[engine] = [
+                entry for entry in idle if entry.expires_at > now
+            ]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/probe.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/probe.py
@@ -1,19 +1,19 @@
-"""Ask an address for a connection."""
+"""Check of an address by opening a connection."""
 
 from bendlead_gateway._http.client import HttpConnection
 
 
 def refuses_connections(address: str, within: float) -> bool:
-    """Tell whether nothing listens at an address, which its machine says.
+    """Return whether the machine at an address refuses the connection.
 
-    One that is cut off or slow says nothing within the seconds given: whatever
-    listens there may be alive.
+    Without an answer within the given seconds the result is False: the machine
+    may be slow or unreachable while the process still runs.
     """
     try:
         HttpConnection(address, within).close()
     except ConnectionRefusedError:
         return True
     except OSError:
-        # No answer is no word of an end.
+        # No refusal, so the process may still run.
         return False
     return False
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
@@ -1,4 +1,4 @@
-"""Which processes of ours are there, and in which halls."""
+"""Processes of this system by role, data hall and access to the store."""
 
 from collections.abc import Mapping
 
@@ -11,7 +11,7 @@
 
 
 class Processes:
-    """List this process and the peers that it knows."""
+    """Answer queries on this process and its peers."""
 
     def __init__(
         self, own: PeerRecord, loads: LoadTable, peers: Mapping[NodeName, Peer]
@@ -21,9 +21,9 @@
         self._peers = peers
 
     def triers(self) -> list[TrialNode]:
-        """List those heard of lately that have requests or items to send.
+        """List the processes with requests or items to use for trials.
 
-        This process is asked where it has some, though none may run yet.
+        This process is always in the list; an owner counts as one with items.
         """
         owner = self._own.role is NodeRole.OWNER
         found = [TrialNode(self._own.node, items=owner)]
@@ -38,25 +38,26 @@
     def reaching_store(self) -> list[PeerRecord]:
         """List live peers that the object service answers.
 
-        Those of this hall alone where there are any: bytes stay within it.
+        Peers in other data halls are listed only if there is none in this
+        hall, to save traffic between halls.
         """
         found = [
             peer.record
             for peer in self._peers.values()
             if not peer.is_down and _reaches_store(peer.report)
         ]
-        near = [one for one in found if one.hall == self._own.hall]
-        return near or found
+        local = [record for record in found if record.hall == self._own.hall]
+        return local or found
 
     def halls(self) -> dict[NodeName, DataHall]:
-        """Give the hall of each process that is listed."""
-        halls = {node: one.record.hall for node, one in self._peers.items()}
+        """Return the data hall of each known process."""
+        halls = {node: peer.record.hall for node, peer in self._peers.items()}
         halls[self._own.node] = self._own.hall
         return halls
 
 
 def _reaches_store(report: NodeReport | None) -> bool:
-    """Tell whether the object service has answered since it last failed."""
+    """Return whether the last call of the object service succeeded."""
     if report is None or report.answered_ms < 0:
         return False
     return report.failed_ms < 0 or report.answered_ms < report.failed_ms
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/refusals.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/refusals.py
@@ -1,4 +1,4 @@
-"""Which services lately refused online requests for want of places."""
+"""Services that recently refused online requests for lack of free slots."""
 
 import math
 from collections import Counter
@@ -10,79 +10,84 @@
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import NodeName, ServiceName
 
-#: What a process that was not heard for this long (s) told is forgotten.
-_FORGET_SECONDS = 60.0
-#: No process refuses so many in its life; a greater number is a mistake.
-_MOST_REFUSED = 1_000_000_000_000
+#: Counts of a process without reports are kept this long.
+_RETENTION_SECONDS = 60.0
+#: Greater counts are treated as invalid.
+_MAX_REFUSALS = 1_000_000_000_000
 
 
-class _Told(Struct):
-    """Keep what a process told last, and when."""
+class _PeerCounts(Struct):
+    """The last counts received from a process."""
 
     counts: Mapping[str, int]
-    heard: float
-    mistaken: bool = False
+    received_at: float
+    invalid: bool = False
 
 
 class Refusals:
-    """Count refusals of this process, and tell when peers' counts change.
+    """Count refusals of this process and detect new ones of its peers.
 
-    A count rises for the life of a process, so a report stays the same while
-    nobody is refused.
+    Counts are totals since the start of a process.
     """
 
     def __init__(self, log: Log) -> None:
         self._log = log
         self._own: Counter[ServiceName] = Counter()
-        self._told: dict[NodeName, _Told] = {}
+        self._peer_counts: dict[NodeName, _PeerCounts] = {}
         self._latest: dict[ServiceName, float] = {}
 
     @property
     def own(self) -> dict[str, int]:
-        """Give this process's refusals by service."""
+        """Return the refusals of this process by service."""
         return dict(self._own)
 
     def refused(self, service: ServiceName) -> None:
-        """Count a request that was refused here."""
+        """Count a request that this process refused."""
         self._own[service] += 1
 
     def since(self, service: ServiceName) -> float:
-        """Give the seconds since a peer's last refusal, as far as heard."""
-        at = self._latest.get(service)
-        return math.inf if at is None else clock.uptime() - at
+        """Return the seconds since a peer's last known refusal, or infinity."""
+        refused_at = self._latest.get(service)
+        return math.inf if refused_at is None else clock.uptime() - refused_at
 
     def hear(self, node: NodeName, counts: Mapping[str, int]) -> None:
-        """Take what a peer counts; what it told first says nothing of when."""
+        """Apply a peer's counts; its first ones only serve for comparison."""
         now = clock.uptime()
-        known = self._told.get(node)
-        if any(not 0 <= one <= _MOST_REFUSED for one in counts.values()):
-            self._distrust(node, known, counts, now)
+        known = self._peer_counts.get(node)
+        if any(not 0 <= count <= _MAX_REFUSALS for count in counts.values()):
+            self._reject(node, known, counts, now)
             return
         if known is None:
-            self._forget_old(now)
+            self._remove_old(now)
         else:
             for name, count in counts.items():
-                # A count below the last one is that of a new process.
+                # A lower count is that of a restarted process.
                 if count and count != known.counts.get(name, 0):
                     self._latest[ServiceName(name)] = now
-        self._told[node] = _Told(counts, now)
+        self._peer_counts[node] = _PeerCounts(counts, now)
 
-    def _distrust(
+    def _reject(
         self,
         node: NodeName,
-        known: _Told | None,
+        known: _PeerCounts | None,
         counts: Mapping[str, int],
         now: float,
     ) -> None:
-        if known is None or not known.mistaken:
+        if known is None or not known.invalid:
             self._log.event('refusals-unusable', peer=node, told=dict(counts))
-        self._told[node] = _Told(known.counts if known else {}, now, True)
-
-    def _forget_old(self, now: float) -> None:
-        oldest = now - _FORGET_SECONDS
-        self._told = {
-            node: one for node, one in self._told.items() if one.heard > oldest
+        self._peer_counts[node] = _PeerCounts(
+            known.counts if known else {}, now, True
+        )
+
+    def _remove_old(self, now: float) -> None:
+        oldest = now - _RETENTION_SECONDS
+        self._peer_counts = {
+            node: known
+            for node, known in self._peer_counts.items()
+            if known.received_at > oldest
         }
         self._latest = {
-            name: at for name, at in self._latest.items() if at > oldest
+            name: refused_at
+            for name, refused_at in self._latest.items()
+            if refused_at > oldest
         }
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -278,7 +278,7 @@
         self.now += 100
         self.refusals.hear(NodeName('entry-2'), {})
         self.assertEqual(math.inf, self.refusals.since(_CHAT))
-        self.assertNotIn(_NODE, self.refusals._told)
+        self.assertNotIn(_NODE, self.refusals._peer_counts)
 
     def test_report_of_an_older_process(self):
         report = msgspec.json.decode(
--- a/tests/test_gateway_odd_entries.py
+++ b/tests/test_gateway_odd_entries.py
@@ -120,10 +120,10 @@
         for _failure in range(3):
             fleet.health.failed('i-0', unreachable=True)
         self.assertTrue(fleet.health.paused('i-0'))
-        self.assertTrue(fleet.pool._kept['i-0'])
+        self.assertTrue(fleet.pool._idle['i-0'])
         self.tell(born=2000)
         self.assertFalse(fleet.health.paused('i-0'))
-        self.assertFalse(fleet.pool._kept.get('i-0'))
+        self.assertFalse(fleet.pool._idle.get('i-0'))
 
     def test_a_change_within_a_life_forgets_nothing(self):
         self.begin(born=1000)
