--- a/tests/test_gateway_balancer.py
+++ b/tests/test_gateway_balancer.py
@@ -1,4 +1,4 @@
-"""Which engine gets the next request, and where items of jobs may run."""
+"""Selection of engines for online requests, with batch items running."""
 
 import unittest
 
@@ -39,7 +39,7 @@
 
 
 class _Engines:
-    """Stand in for the list of engines."""
+    """Fake list of engines."""
 
     def __init__(self, *engines: Engine) -> None:
         self._engines = engines
@@ -52,7 +52,7 @@
 
 
 class ChooseTest(unittest.TestCase):
-    """Online requests go where a place is free."""
+    """Online requests go to an engine with a free slot."""
 
     @parameterized.expand(
         [
@@ -75,32 +75,35 @@
         loads.report(
             NodeName('peer'),
             {
-                EngineId(one): online
-                for one, (online, _batch) in running.items()
+                EngineId(name): online
+                for name, (online, _batch) in running.items()
+            },
+            {
+                EngineId(name): batch
+                for name, (_online, batch) in running.items()
             },
-            {EngineId(one): batch for one, (_online, batch) in running.items()},
         )
-        engines = _Engines(*(_engine(one) for one in running))
+        engines = _Engines(*(_engine(name) for name in running))
         balancer = _balancer(engines, loads, EngineHealth())
         chosen = balancer.choose(_SERVICE, ())
         self.assertEqual(expected, chosen.view.name)
 
-    def test_paused_engine_is_passed_over(self):
+    def test_paused_engine_is_skipped(self):
         health = EngineHealth()
         health.failed(EngineId('a'), unreachable=True)
         engines = _Engines(_engine('a'), _engine('b'))
         balancer = _balancer(engines, LoadTable(), health)
         self.assertEqual('b', balancer.choose(_SERVICE, ()).view.name)
 
-    def test_all_paused_are_asked_all_the_same(self):
+    def test_paused_engine_is_used_if_there_is_no_other(self):
         health = EngineHealth()
         health.failed(EngineId('a'), unreachable=True)
         balancer = _balancer(_Engines(_engine('a')), LoadTable(), health)
         self.assertEqual('a', balancer.choose(_SERVICE, ()).view.name)
 
 
-class UnstoppableItemsTest(unittest.TestCase):
-    """Items of an owner that is gone hold their places to their end."""
+class NonPreemptibleItemsTest(unittest.TestCase):
+    """Items of a failed owner use their slots until they end."""
 
     def setUp(self):
         self.loads = LoadTable()
@@ -121,7 +124,7 @@
     )
     def test_wait(self, _name, age, online, items, expected):
         self.loads.own.online[EngineId('a')] = online
-        self._take_report(age, {'a': items})
+        self._report(age, {'a': items})
         wait = self.balancer.view(_engine('a')).wait(0.8)
         self.assertAlmostEqual(expected, wait)
 
@@ -129,12 +132,12 @@
         [('owner_is_heard', 0.0, 'a'), ('owner_is_gone', 0.6, 'b')]
     )
     def test_choice(self, _name, age, expected):
-        """Waiting for such an item costs more than one that steps aside."""
+        """Such an item frees its slot later than a preemptible one."""
         self.loads.own.online.update({'a': 4, 'b': 6})
-        self._take_report(age, {'a': 6, 'b': 2})
+        self._report(age, {'a': 6, 'b': 2})
         chosen = self.balancer.choose(_SERVICE, ())
         self.assertEqual(expected, chosen.view.name)
 
-    def _take_report(self, age, batch):
-        items = {EngineId(one): count for one, count in batch.items()}
+    def _report(self, age, batch):
+        items = {EngineId(name): count for name, count in batch.items()}
         self.loads.report(NodeName('owner'), {}, items, age)
--- a/tests/test_gateway_odd_entries.py
+++ b/tests/test_gateway_odd_entries.py
@@ -1,4 +1,4 @@
-"""Entries of engines and peers that were written by somebody else."""
+"""Invalid entries of engines and peers in the object service."""
 
 import time
 
@@ -15,10 +15,10 @@
 
 
 def without(name):
-    """Make an entry that lacks a field."""
-    made = engine(_ADDRESS)
-    made.pop(name)
-    return made
+    """Build an engine entry without one field."""
+    entry = engine(_ADDRESS)
+    entry.pop(name)
+    return entry
 
 
 _ODD = [
@@ -50,13 +50,13 @@
 
 
 class OddEngineTest(EntryCase):
-    """An odd entry names no engine; the others hold."""
+    """An invalid entry lists no engine and leaves the others listed."""
 
     @parameterized.expand(_ODD)
     def test_listed_at_the_start(self, _name, odd):
         self.store.set('servers', 'a-odd', odd)
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
-        names = {one.engine for one in self.entry.fleet.engines.all()}
+        names = {engine.engine for engine in self.entry.fleet.engines.all()}
         self.assertEqual({'i-0', 'i-1'}, names)
         self.assertEqual(200, self.read(self.ask())[0].status)
 
@@ -66,18 +66,20 @@
         self.hold()
         self.store.set('servers', 'i-0', odd)
         engines = self.entry.fleet.engines
-        eventually(lambda: [one.engine for one in engines.all()] == ['i-1'])
+        eventually(
+            lambda: [listed.engine for listed in engines.all()] == ['i-1']
+        )
         self.store.set('servers', 'i-0', engine(self.engines[0].address))
         eventually(lambda: len(engines.all()) == 2)
 
-    def test_service_that_nobody_knows(self):
+    def test_unknown_service(self):
         self.store.set('servers', 'a-odd', engine(_ADDRESS, service='s9'))
         self.start(route('safe'), answers=[_PLAIN], others=1)
         self.assertEqual(200, self.read(self.ask())[0].status)
 
 
 class OddPeerTest(EntryCase):
-    """An odd record names no process of ours; the others hold."""
+    """An invalid record lists no process and leaves the others listed."""
 
     @parameterized.expand(
         [
@@ -96,23 +98,23 @@
         eventually(lambda: set(self.entry.peers.summary()) == {'b-good'})
 
 
-class LifeTest(EntryCase):
-    """An engine may start again under its id."""
+class IncarnationTest(EntryCase):
+    """An engine may restart under the same id."""
 
     def begin(self, **changed):
-        """Start an entry with one engine of a certain birth."""
+        """Start an entry process with one engine, and update that engine."""
         self.start(route('safe'), answers=[_PLAIN])
         self.hold()
-        self.tell(**changed)
+        self.update(**changed)
 
-    def tell(self, **changed):
-        """Have the engine say something of itself."""
-        told = engine(self.engines[0].address, **changed)
-        self.store.set('servers', 'i-0', told)
-        eventually(lambda: self._known(changed))
+    def update(self, **changed):
+        """Update the entry of the engine."""
+        entry = engine(self.engines[0].address, **changed)
+        self.store.set('servers', 'i-0', entry)
+        eventually(lambda: self._is_listed(changed))
 
-    def test_a_new_life_is_a_new_engine(self):
-        """What failed, and the connections, were those of the old life."""
+    def test_restart_resets_health_and_connections(self):
+        """Failures and connections belong to the previous incarnation."""
         self.begin(born=1000)
         fleet = self.entry.fleet
         self.assertEqual(200, self.read(self.ask())[0].status)
@@ -121,40 +123,40 @@
             fleet.health.failed('i-0', unreachable=True)
         self.assertTrue(fleet.health.paused('i-0'))
         self.assertTrue(fleet.pool._idle['i-0'])
-        self.tell(born=2000)
+        self.update(born=2000)
         self.assertFalse(fleet.health.paused('i-0'))
         self.assertFalse(fleet.pool._idle.get('i-0'))
 
-    def test_a_change_within_a_life_forgets_nothing(self):
+    def test_change_without_restart_keeps_health(self):
         self.begin(born=1000)
         health = self.entry.fleet.health
         for _failure in range(3):
             health.failed('i-0', unreachable=True)
-        self.tell(born=1000, slots=4)
+        self.update(born=1000, slots=4)
         self.assertTrue(health.paused('i-0'))
 
     @parameterized.expand(
         [('just_started', 0, True), ('started_long_ago', -60_000, False)]
     )
     def test_warm_up_counts_from_the_start(self, _name, ago, warming):
-        """It does not begin anew with each change of the entry."""
+        """A change of the entry does not restart the warm-up time."""
         born = round(time.time() * 1000) + ago
         self.begin(born=born, warmup_left_ms=30_000)
-        self.tell(born=born, warmup_left_ms=30_000, slots=4)
+        self.update(born=born, warmup_left_ms=30_000, slots=4)
         engines = self.entry.fleet.engines
         (listed,) = engines.all()
         self.assertEqual(warming, engines.warming(listed))
 
-    def test_warm_up_of_an_engine_that_tells_no_birth(self):
-        """It counts from when the engine was first seen."""
+    def test_warm_up_without_start_time(self):
+        """The warm-up time counts from when the engine was first listed."""
         self.begin(warmup_left_ms=200)
         gevent.sleep(0.25)
-        self.tell(warmup_left_ms=200, slots=4)
+        self.update(warmup_left_ms=200, slots=4)
         engines = self.entry.fleet.engines
         (listed,) = engines.all()
         self.assertFalse(engines.warming(listed))
 
-    def _known(self, changed):
+    def _is_listed(self, changed):
         (listed,) = self.entry.fleet.engines.all()
         return (listed.born, listed.slots) == (
             changed.get('born', 0),
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -1,4 +1,4 @@
-"""What is learnt of engines' speed, told, heard and forgotten."""
+"""Speed estimates of engines: computed, exchanged with peers, expired."""
 
 import unittest
 
@@ -58,7 +58,7 @@
 
 class _Engines:
     def __init__(self, *engines: Engine) -> None:
-        self._engines = {one.engine: one for one in engines}
+        self._engines = {engine.engine: engine for engine in engines}
 
     def named(self, name: EngineId) -> Engine | None:
         return self._engines.get(name)
@@ -68,7 +68,7 @@
 
 
 class SlownessTest(unittest.TestCase):
-    """Slow engines, engines that stall and full ones are told apart."""
+    """Slow, stalled and fully loaded engines are distinguished."""
 
     def setUp(self):
         self.speeds = EngineSpeeds()
@@ -99,7 +99,7 @@
         self.assertAlmostEqual(before, self.speeds.gap(_engine('a'), 1))
 
     def test_full_engine_is_not_slow(self):
-        """Each further request adds 3 of 100, which a full engine shows."""
+        """Slower events due to load do not count as a slow engine."""
         for _stream in range(40):
             for number in range(6):
                 running = 8 if number < 2 else 2
@@ -119,24 +119,24 @@
         self.speeds.slowness(_engine('a'), 1)
         for _event in range(4):
             self.speeds.observe_event(_engine('a'), 0.7 * 2.5 * _USUAL, 4, 1)
-        told = [self.speeds.stall(_engine('a'), now) for now in (1, 1.1, 2)]
-        self.assertGreater(told[0], told[1])
-        self.assertGreater(told[1], 1.5)
-        self.assertEqual(1, told[2])
+        stalls = [self.speeds.stall(_engine('a'), now) for now in (1, 1.1, 2)]
+        self.assertGreater(stalls[0], stalls[1])
+        self.assertGreater(stalls[1], 1.5)
+        self.assertEqual(1, stalls[2])
 
-    def test_no_stall_told_where_engines_are_alike(self):
+    def test_no_stall_if_all_engines_are_alike(self):
         _learn(self.speeds, dict.fromkeys(_SPEEDS, 1.0))
         for _event in range(9):
             self.speeds.observe_event(_engine('a'), 5 * _USUAL, 4, 1)
         self.assertEqual(1, self.speeds.stall(_engine('a'), 1))
 
     @parameterized.expand([('slower', 3.0), ('faster', 0.4)])
-    def test_next_life(self, _name, times):
+    def test_next_incarnation(self, _name, times):
         _learn(self.speeds, _SPEEDS, streams=9)
-        again = _engine('a', born=2)
-        self.speeds.observe_stream(again, _USUAL * times, 4, 1)
-        found = self.speeds.gap(again, 1) / _USUAL
-        self.assertAlmostEqual(times, found, delta=0.1)
+        restarted = _engine('a', born=2)
+        self.speeds.observe_stream(restarted, _USUAL * times, 4, 1)
+        measured = self.speeds.gap(restarted, 1) / _USUAL
+        self.assertAlmostEqual(times, measured, delta=0.1)
 
     def test_forgotten(self):
         _learn(self.speeds, _SPEEDS)
@@ -146,7 +146,7 @@
         self.assertEqual({}, self.speeds.uneven())
 
     def test_one_forgotten(self):
-        """An engine that starts again counts as usual at once."""
+        """A restarted engine counts as normal at once."""
         _learn(self.speeds, _SPEEDS)
         self.speeds.slowness(_engine('c'), 1)
         self.speeds.forget(_engine('c'))
@@ -154,48 +154,48 @@
 
     @parameterized.expand([('zero', 0), ('negative', -1), ('huge', 1e9)])
     def test_odd_gap(self, _name, gap):
-        found = self.speeds.observe_stream(_engine('a'), gap, 4, 1)
-        self.assertIsNone(found)
+        estimate = self.speeds.observe_stream(_engine('a'), gap, 4, 1)
+        self.assertIsNone(estimate)
 
 
-class WitnessTest(unittest.TestCase):
-    """Others' findings count where own ones are few, and age."""
+class PeerEstimateTest(unittest.TestCase):
+    """Estimates of peers are used where own streams are few, and expire."""
 
     def setUp(self):
         self.speeds = EngineSpeeds()
         self.engine = _engine('a')
 
-    def _hear(self, witness: str, gap: float, streams: int = 7) -> None:
-        found = SpeedEstimate(gap, streams, 1)
-        self.speeds.add_peer_estimate(self.engine, NodeName(witness), found)
+    def _add(self, peer: str, gap: float, streams: int = 7) -> None:
+        estimate = SpeedEstimate(gap, streams, 1)
+        self.speeds.add_peer_estimate(self.engine, NodeName(peer), estimate)
 
-    def test_one_witness_of_three_is_wrong(self):
-        for witness, gap in (('x', 0.02), ('y', 0.021), ('z', 5)):
-            self._hear(witness, gap)
+    def test_one_peer_of_three_is_wrong(self):
+        for peer, gap in (('x', 0.02), ('y', 0.021), ('z', 5)):
+            self._add(peer, gap)
         self.assertEqual(0.021, self.speeds.gap(self.engine, 2))
 
-    def test_own_streams_need_no_witness(self):
+    def test_own_streams_take_precedence(self):
         _learn(self.speeds, {'a': 1}, streams=7)
-        self._hear('x', 5)
+        self._add('x', 5)
         self.assertAlmostEqual(_USUAL, self.speeds.gap(self.engine, 2))
 
-    def test_findings_age(self):
-        self._hear('x', 0.02)
+    def test_estimates_expire(self):
+        self._add('x', 0.02)
         self.assertEqual(0, self.speeds.gap(self.engine, 100))
 
-    def test_witnesses_are_bounded(self):
+    def test_number_of_peers_is_bounded(self):
         for number in range(50):
-            self._hear(f'entry-{number}', 0.02, number + 1)
+            self._add(f'entry-{number}', 0.02, number + 1)
         self.assertEqual(4, len(self.speeds.peer_estimates(self.engine)))
 
-    def test_witness_that_starts_again(self):
-        self._hear('x', 0.02, 9)
-        self._hear('x', 0.03, 1)
+    def test_peer_that_restarts(self):
+        self._add('x', 0.02, 9)
+        self._add('x', 0.03, 1)
         self.assertEqual(0.03, self.speeds.gap(self.engine, 2))
 
 
-class NewsTest(unittest.TestCase):
-    """Findings pass from who found them to the peers, and no further."""
+class ExchangeTest(unittest.TestCase):
+    """Own estimates are sent to peers, which do not relay them."""
 
     def setUp(self):
         self.engine = _engine('a', born=3)
@@ -230,14 +230,14 @@
     def _gap(self, node: int) -> float:
         return self.paces[node].speeds.gap(self.engine, clock.uptime())
 
-    def test_told(self):
+    def test_sent_but_not_relayed(self):
         self._stream(0)
         self._pass(0, 1)
         self._pass(1, 2)
         self.assertAlmostEqual(_USUAL, self._gap(1), places=4)
         self.assertEqual(0, self._gap(2))
 
-    def test_told_to_a_peer_that_starts_again(self):
+    def test_sent_again_to_a_restarted_peer(self):
         self._stream(0)
         for _report in range(2):
             self.nodes[0]._pending.clear()
@@ -248,14 +248,14 @@
         self._pass(0, 1)
         self.assertAlmostEqual(_USUAL, self._gap(1), places=4)
 
-    def test_same_as_others_found(self):
+    def test_not_sent_if_equal_to_estimates_of_peers(self):
         for source in (1, 2):
             self._stream(source)
             self._pass(source, 0)
         self.nodes[0].outgoing()
-        told = len(self.nodes[0].outgoing())
+        sent = len(self.nodes[0].outgoing())
         self._stream(0)
-        self.assertEqual(told, len(self.nodes[0].outgoing()))
+        self.assertEqual(sent, len(self.nodes[0].outgoing()))
 
     def test_coalesced_events(self):
         stream = StreamPace(
@@ -300,25 +300,27 @@
         self.nodes[0].receive(report)
         self.assertEqual(0, self._gap(0))
         self.assertEqual(80, self.nodes[0].counts['odd'])
-        noted = [one for one in self.logs[0].recent if 'paces-ignored' in one]
-        self.assertEqual(1, len(noted))
+        lines = [
+            line for line in self.logs[0].recent if 'paces-ignored' in line
+        ]
+        self.assertEqual(1, len(lines))
 
-    def test_finding_of_an_earlier_life(self):
-        told = ToldPace(engine='a', born=2, streams=9, gap_us=90_000)
+    def test_estimate_of_an_earlier_incarnation(self):
+        pace = ToldPace(engine='a', born=2, streams=9, gap_us=90_000)
         self.nodes[0].receive(
-            NodeReport(node='x', sound=True, leaving=False, paces=[told])
+            NodeReport(node='x', sound=True, leaving=False, paces=[pace])
         )
         self.assertEqual(0, self._gap(0))
 
     def test_state(self):
         self._stream(0)
-        shown = self.nodes[0].summary()['a']
-        self.assertEqual(1, shown['own_streams'])
-        self.assertEqual(1, shown['slowness'])
+        summary = self.nodes[0].summary()['a']
+        self.assertEqual(1, summary['own_streams'])
+        self.assertEqual(1, summary['slowness'])
 
 
 def _slowly(sock, _request) -> None:
-    """Answer in chunks of one event each, with pauses."""
+    """Respond in chunks of one event each, with pauses."""
     sock.sendall(chunked(last=False))
     for number in range(6):
         part = event(number, 'a')
@@ -328,49 +330,49 @@
 
 
 class AnswerPaceTest(EntryCase):
-    """Streams show the speed of an engine, plain answers do not."""
+    """Only streams are used to estimate the speed of an engine."""
 
     @parameterized.expand([('stream', 'streaming', 1), ('plain', 'safe', 0)])
     def test_answer(self, _name, kind, streams):
         self.start(route(kind), answers=[_slowly])
         self.read(self.ask())
         eventually(lambda: self.entry.metrics.requests['answered'])
-        shown = self.entry.state()['paces']
-        self.assertEqual(streams, len(shown))
+        paces = self.entry.state()['paces']
+        self.assertEqual(streams, len(paces))
 
 
 class EntryPaceTest(EntryCase):
-    """What an entry learns and hears goes into its reports and its state."""
+    """Own and received estimates in the reports and the state of an entry."""
 
     def setUp(self):
         super().setUp()
         self.start(route('streaming'), answers=[b''])
         self.engine = self.entry.fleet.engines.named(EngineId('i-0'))
 
-    def _hear(self, gap: float) -> None:
-        told = ToldPace(
+    def _receive(self, gap: float) -> None:
+        pace = ToldPace(
             engine='i-0',
             born=self.engine.born,
             streams=3,
             gap_us=round(gap * 1e6),
         )
         self.entry.hear_report(
-            NodeReport(node='entry-9', sound=True, leaving=False, paces=[told])
+            NodeReport(node='entry-9', sound=True, leaving=False, paces=[pace])
         )
 
-    def test_own_finding(self):
+    def test_own_estimate(self):
         stream = self.entry.fleet.follow(self.engine)
         began = clock.uptime()
         for number in range(9):
             stream.take(b'data: x\n\n', began + number * _USUAL)
         stream.end()
-        told = self.entry.report().paces
-        self.assertEqual([20_000], [one.gap_us for one in told])
+        paces = self.entry.report().paces
+        self.assertEqual([20_000], [pace.gap_us for pace in paces])
 
-    def test_heard_finding(self):
-        self._hear(0.04)
-        shown = self.entry.state()['paces']['i-0']
-        self.assertEqual(40, shown['gap_ms'])
+    def test_received_estimate(self):
+        self._receive(0.04)
+        pace = self.entry.state()['paces']['i-0']
+        self.assertEqual(40, pace['gap_ms'])
         self.assertEqual([], self.entry.report().paces)
 
     def test_report_of_an_older_version(self):
@@ -383,7 +385,7 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    """Where engines differ, a queue counts by the speed of its engine."""
+    """The expected wait depends on the speed of the engine."""
 
     @parameterized.expand(
         [
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -1,4 +1,4 @@
-"""Open connections that fall silent for good, while new ones work."""
+"""Open connections that stop delivering data, while new ones work."""
 
 import time
 import unittest
@@ -38,15 +38,14 @@
     settings,
 )
 
-#: A machine counts as in touch again this long (s) after its connections fell
-#: silent; what was acknowledged up to a second later must be in force then.
-_IN_TOUCH_SECONDS = 3
-#: A peer that is not heard for this long (s) counts as stopped.
-_STOPPED_SECONDS = 0.9
-#: What the routes of the tests aim at, and when a free engine answers (s).
-#: Five times the users' aim, so that a busy machine does not decide.
-_AIM_SECONDS = 1.5
-_FIRST_SECONDS = 0.045
+#: A change must be active this long after the connections stopped working.
+_MAX_UPDATE_SECONDS = 3
+#: A peer without reports for this long counts as stopped.
+_PEER_TIMEOUT_SECONDS = 0.9
+#: Latency target of the routes. It is long enough for a busy machine.
+_LATENCY_TARGET_SECONDS = 1.5
+#: Response time of a free engine.
+_RESPONSE_SECONDS = 0.045
 _ANSWER = (
     b'HTTP/1.1 200 OK\r\nX-Response-Seal: s\r\nContent-Length: 15\r\n\r\n'
     b'id: 1\ndata: a\n\n'
@@ -54,7 +53,7 @@
 
 
 class StoreSilenceTest(unittest.TestCase):
-    """The connections to the object service that are kept."""
+    """Idle connections to the object service."""
 
     def setUp(self):
         self.service = PlatformStandIn(f'127.0.0.1:{free_port()}')
@@ -64,8 +63,8 @@
         self.addCleanup(self.link.close)
         self.store = PlatformStore(self.link.address)
 
-    def test_one_lost_answer_shows_all(self):
-        """The others are as old, and each would cost a time-out."""
+    def test_one_timeout_closes_all(self):
+        """Each of the others would cost a further time-out."""
         calls = [
             gevent.spawn(self.store.fetch, 'things/a') for _call in range(4)
         ]
@@ -78,7 +77,7 @@
 
 
 class WatchSilenceTest(OwnerCase):
-    """All connections of all processes to the object service at once."""
+    """All connections to the object service fail at once."""
 
     @parameterized.expand([('idle', 0.0), ('soon_after_a_call', 0.9)])
     def test_configuration_is_seen(self, _name, rest):
@@ -100,11 +99,11 @@
         holder = entry.fleet.configuration
         eventually(lambda: holder.known.version == 2, 12)
         seconds = time.monotonic() - began
-        self.assertLess(seconds, _IN_TOUCH_SECONDS)
+        self.assertLess(seconds, _MAX_UPDATE_SECONDS)
 
 
 class PeerSilenceTest(unittest.TestCase):
-    """The connection on which two processes exchange reports."""
+    """Connection on which two processes exchange reports."""
 
     def setUp(self):
         address = f'127.0.0.1:{free_port()}'
@@ -127,36 +126,36 @@
             lambda: NodeReport(node='a', sound=True, leaving=False),
             lambda _report: None,
         )
-        listed = [
+        entries = [
             Entry(
-                f'{dialect.peers_prefix}{one.node}',
+                f'{dialect.peers_prefix}{record.node}',
                 Version(1),
-                dialect.encode_peer(one),
+                dialect.encode_peer(record),
             )
-            for one in (own, self.record('z', self.link.address))
+            for record in (own, self.record('z', self.link.address))
         ]
-        self.peers.reset(listed, after_outage=False)
+        self.peers.reset(entries, after_outage=False)
         eventually(lambda: self.age() >= 0)
 
     def record(self, name, address):
-        """Make the record of an owner."""
+        """Build the record of an owner."""
         return PeerRecord(
             NodeName(name), NodeRole.OWNER, DataHall('hall-1'), address
         )
 
     def answer(self, _request, responder):
-        """Answer as the peer, or as scripted."""
-        told = NodeReport(node='z', sound=True, leaving=False)
-        body = self.answers.pop() if self.answers else json.encode(told)
+        """Respond with a report or with a scripted body."""
+        report = NodeReport(node='z', sound=True, leaving=False)
+        body = self.answers.pop() if self.answers else json.encode(report)
         responder.answer(200, [], body)
 
     def age(self):
-        """Tell how long ago the peer was heard."""
+        """Return the age of the peer's latest report (s)."""
         return self.peers.summary()['z']
 
-    def test_heard_again_before_it_counts_as_stopped(self):
-        """Its shards would be taken over, and what runs there lost."""
-        # All times are thrice as long, so that a busy machine does not decide.
+    def test_reconnects_before_the_peer_counts_as_stopped(self):
+        """Otherwise its shards are taken over and running items are lost."""
+        # All times are three times as long, for busy machines.
         with (
             mock.patch.object(report_exchanger, '_TIMEOUT_SECONDS', 1.8),
             mock.patch.object(report_exchanger, '_MIN_BACKOFF_SECONDS', 0.6),
@@ -169,9 +168,9 @@
                 while time.monotonic() - began < 3:
                     oldest = max(oldest, self.age())
                     gevent.sleep(0.01)
-                self.assertLess(oldest, 3 * (_STOPPED_SECONDS - 0.15))
+                self.assertLess(oldest, 3 * (_PEER_TIMEOUT_SECONDS - 0.15))
 
-    def test_heard_again_after_an_unreadable_report(self):
+    def test_exchange_continues_after_an_unreadable_report(self):
         self.answers.append(b'no report')
         gevent.sleep(0.2)
         self.assertEqual([], self.answers)
@@ -179,7 +178,7 @@
 
 
 class EngineSilenceTest(EntryCase):
-    """Connections to engines that are kept fall silent between requests."""
+    """Idle connections to engines stop working between requests."""
 
     def begin(self, kind, engines=2, **changed):
         """Start engines behind links, and use a connection to each."""
@@ -191,20 +190,20 @@
             link = SilentLink(peer.address)
             self.addCleanup(link.close)
             self.links.append(link)
-            told = engine(link.address)
-            self.store.set('servers', f'i-{number}', told)
+            entry = engine(link.address)
+            self.store.set('servers', f'i-{number}', entry)
         self.start(route(kind, **changed), others=engines)
         calls = [gevent.spawn(self.timed) for _call in range(2 * engines)]
         gevent.joinall(calls)
 
     def serve(self, sock):
-        """Answer each request after the time that a free engine takes."""
+        """Respond to each request like a free engine."""
         while self.engines[0].read_request(sock):
-            gevent.sleep(_FIRST_SECONDS)
+            gevent.sleep(_RESPONSE_SECONDS)
             sock.sendall(_ANSWER)
 
     def timed(self, patience=2000):
-        """Ask and give the status and the seconds until it came."""
+        """Send a request; return its status and response time (s)."""
         began = time.monotonic()
         head, _body = self.read(self.ask(patience=patience))
         return head.status, time.monotonic() - began
@@ -215,14 +214,16 @@
             ('stream', 'streaming', {'resumable': True}),
         ],
     )
-    def test_asked_again_in_time(self, _name, kind, changed):
-        aim = round(_AIM_SECONDS * 1000)
-        self.begin(kind, target_latency_ms=aim, timeout_ms=5000, **changed)
+    def test_retried_in_time(self, _name, kind, changed):
+        target_ms = round(_LATENCY_TARGET_SECONDS * 1000)
+        self.begin(
+            kind, target_latency_ms=target_ms, timeout_ms=5000, **changed
+        )
         for link in self.links:
             link.silence()
         status, seconds = self.timed(patience=5000)
         self.assertEqual(200, status)
-        self.assertLess(seconds, _AIM_SECONDS)
+        self.assertLess(seconds, _LATENCY_TARGET_SECONDS)
 
     @parameterized.expand(
         [
@@ -234,8 +235,8 @@
             ('the_only_one', 'safe', 1, (), {}),
         ],
     )
-    def test_awaited(self, _name, kind, engines, full, changed):
-        """It may run where it is, or wait for a place there."""
+    def test_not_retried(self, _name, kind, engines, full, changed):
+        """The request may be running, or be queued on its engine."""
         self.begin(kind, engines, timeout_ms=700, **changed)
         for name in full:
             self.entry.fleet.loads.own.online[name] += 8
@@ -247,18 +248,18 @@
         self.assertGreater(seconds, 0.6)
         self.assertEqual(before, sum(link.opened for link in self.links))
 
-    def test_only_engine_is_awaited(self):
-        """Giving it up would end a request that it may well answer."""
+    def test_slow_response_of_the_only_engine(self):
+        """The request is not given up, since there is no other engine."""
         self.begin('safe', engines=1)
-        with mock.patch(f'{__name__}._FIRST_SECONDS', 0.4):
+        with mock.patch(f'{__name__}._RESPONSE_SECONDS', 0.4):
             status, _seconds = self.timed()
         self.assertEqual(200, status)
 
-    def test_slow_engines_are_not_asked_twice_for_ever(self):
-        """Where all are slow, each request more makes them slower."""
+    def test_retries_to_slow_engines_are_limited(self):
+        """Each retry adds load to engines that are overloaded already."""
         self.begin('safe')
         before = self.sent()
-        with mock.patch(f'{__name__}._FIRST_SECONDS', 0.4):
+        with mock.patch(f'{__name__}._RESPONSE_SECONDS', 0.4):
             for _round in range(5):
                 calls = [gevent.spawn(self.timed) for _call in range(8)]
                 gevent.joinall(calls)
--- a/tests/test_gateway_start.py
+++ b/tests/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""A process that is told of new settings while it starts."""
+"""Changes of the settings while a process starts."""
 
 import errno
 import os
@@ -39,7 +39,7 @@
 
 
 class StartTest(unittest.TestCase):
-    """SIGHUP and a change of the file before the process runs."""
+    """SIGHUP and changes of the settings file during startup."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -50,7 +50,7 @@
         self.text = _SETTINGS.format(*self.ports)
 
     def test_signal_before_the_settings_are_read(self):
-        """The signal must not end a process that does not listen yet."""
+        """SIGHUP must not terminate a process that does not listen yet."""
         os.mkfifo(self.path)
         process = subprocess.Popen(
             [sys.executable, str(_PROGRAM)],
@@ -59,8 +59,8 @@
         )
         self.addCleanup(process.wait)
         self.addCleanup(process.kill)
-        # It is read for the address of the clients, then whole. Each time it is
-        # opened once the process opens its end, before it reads anything.
+        # The process reads the file twice. open() of the pipe returns once the
+        # process has opened its end, before it reads anything.
         for _reading in range(2):
             with open(self.path, 'w') as file:
                 process.send_signal(signal.SIGHUP)
@@ -71,26 +71,26 @@
         self.assertTrue(self._listens(process))
 
     def test_change_after_the_settings_were_read(self):
-        """What is written behind the first look is seen by the next."""
+        """A change after the first read is found by the next check."""
         self._write(self.text)
-        given = []
+        run_arguments = []
 
         def load_then_change(path):
-            found = load_settings(path)
+            loaded = load_settings(path)
             self._write(self.text.replace('grace_s = 8', 'grace_s = 5'))
-            return found
+            return loaded
 
         with (
             mock.patch.dict(os.environ, {'BENDLEAD_CONFIG': self.path}),
             mock.patch.object(main, 'load_settings', load_then_change),
             mock.patch.object(
-                main, 'run_process', lambda *all: given.append(all)
+                main, 'run_process', lambda *args: run_arguments.append(args)
             ),
             mock.patch.object(main.gc, 'freeze'),
         ):
             main.main()
-        found = given[0][3].changed().ok_value
-        self.assertEqual(5, found and found.grace)
+        changed = run_arguments[0][3].changed().ok_value
+        self.assertEqual(5, changed and changed.grace)
 
     def _write(self, text):
         with open(self.path, 'w') as file:
@@ -99,7 +99,7 @@
         os.utime(self.path, ns=(self.written, self.written))
 
     def _has_been_read(self):
-        """Tell whether nobody has the pipe open for reading any more."""
+        """Return whether no process has the pipe open for reading."""
         try:
             os.close(os.open(self.path, os.O_WRONLY | os.O_NONBLOCK))
         except OSError as error:
--- a/tests/test_gateway_store_failover.py
+++ b/tests/test_gateway_store_failover.py
@@ -1,4 +1,4 @@
-"""Calls of the object service go by a peer while it turns one process away."""
+"""Failover to a peer while the object service rejects one process."""
 
 import gevent
 from bendlead_gateway._fleet.store_failover import FailoverStore
@@ -13,7 +13,7 @@
 from tests.gateway_cases import OwnerCase, job
 from tests.gateway_standins import eventually, settings
 
-_TURNED_AWAY = [
+_TROUBLES = [
     ('cut', Trouble.CUT),
     ('busy', Trouble.AWAY),
     ('limited', Trouble.LIMITED),
@@ -21,18 +21,18 @@
 ]
 
 
-class HolderTurnedAwayTest(OwnerCase):
-    """The object service serves all processes but the holder of a shard."""
+class OwnerFailoverTest(OwnerCase):
+    """The object service serves all processes except the owner of a shard."""
 
     def setUp(self):
         super().setUp()
         self.configure()
         self.door = Door(f'127.0.0.1:{free_port()}')
         self.store.open_door(self.door)
-        self.holder = self.start_owner('owner-1', self.door.address)
-        eventually(lambda: len(self.holder._keeper.owned) == 4)
+        self.shard_owner = self.start_owner('owner-1', self.door.address)
+        eventually(lambda: len(self.shard_owner._keeper.owned) == 4)
         self.other = self.start_owner('owner-2', self.store.address)
-        eventually(self.both_heard, 3)
+        eventually(self.are_connected, 3)
 
     def start_owner(self, name, address):
         """Start an owner that reaches the object service at an address."""
@@ -41,52 +41,52 @@
         node.serve()
         return node
 
-    def hand_in(self, name):
-        """Hand a job in at the holder."""
-        call = self.call(self.holder, 'POST', '/x/1', job(), name=name)
+    def submit_job(self, name):
+        """Submit a job to the owner."""
+        call = self.call(self.shard_owner, 'POST', '/x/1', job(), name=name)
         return call.head.status
 
-    def both_heard(self):
-        """Tell whether each owner hears the other."""
-        nodes = (self.holder, self.other)
-        return all(one.peers.claims.able_owners() for one in nodes)
+    def are_connected(self):
+        """Return whether each owner receives the reports of the other."""
+        nodes = (self.shard_owner, self.other)
+        return all(node.peers.claims.able_owners() for node in nodes)
 
-    @parameterized.expand(_TURNED_AWAY)
+    @parameterized.expand(_TROUBLES)
     def test_jobs_are_accepted_in_time(self, _name, trouble):
-        """Their callers wait for some tenths of a second at most."""
+        """Submitting a job must not wait for direct calls to time out."""
         self.door.trouble = trouble
-        # One that is not answered at all has to be noticed first.
+        # A direct call that gets no response has to time out first.
         gevent.sleep(2)
         with gevent.Timeout(0.4):
-            self.assertEqual(202, self.hand_in('j1'))
+            self.assertEqual(202, self.submit_job('j1'))
         with gevent.Timeout(0.4):
-            self.assertEqual(202, self.hand_in('j2'))
+            self.assertEqual(202, self.submit_job('j2'))
 
-    @parameterized.expand(_TURNED_AWAY)
-    def test_it_keeps_its_shards(self, _name, trouble):
-        """Another process would have to run its items again."""
+    @parameterized.expand(_TROUBLES)
+    def test_owner_keeps_its_shards(self, _name, trouble):
+        """A takeover would run its items again."""
         self.door.trouble = trouble
         gevent.sleep(3)
-        self.assertEqual(4, len(self.holder._keeper.owned))
+        self.assertEqual(4, len(self.shard_owner._keeper.owned))
         self.assertFalse(self.other._keeper.owned)
 
-    def test_it_calls_by_itself_again_afterwards(self):
+    def test_direct_calls_resume(self):
         self.door.trouble = Trouble.AWAY
-        self.assertEqual(202, self.hand_in('j1'))
-        self.assertTrue(self.holder.store.by_peer)
+        self.assertEqual(202, self.submit_job('j1'))
+        self.assertTrue(self.shard_owner.store.by_peer)
         self.door.trouble = Trouble.NONE
-        eventually(lambda: not self.holder.store.by_peer, 4)
+        eventually(lambda: not self.shard_owner.store.by_peer, 4)
 
-    def test_service_that_is_away_for_all(self):
-        """Nothing is promised, and it goes on once the service is back."""
+    def test_outage_for_all(self):
+        """Jobs are not accepted until the service is back."""
         self.store.trouble = self.door.trouble = Trouble.AWAY
         gevent.sleep(0.5)
-        self.assertNotEqual(202, self.hand_in('j1'))
+        self.assertNotEqual(202, self.submit_job('j1'))
         self.store.trouble = self.door.trouble = Trouble.NONE
-        eventually(lambda: self.hand_in('j1') == 202, 4)
+        eventually(lambda: self.submit_job('j1') == 202, 4)
 
-    def test_answer_that_is_lost_on_the_way_is_unknown(self):
-        """The write may have been done, so nobody may take it as not done."""
+    def test_lost_response_is_unknown(self):
+        """The write may have taken effect, so it must not count as failed."""
         store = FailoverStore(self.other.store.direct, self.other.log)
         store.direct = PlatformStore(self.door.address)
         store.route.peers = lambda: [self.other.record]
@@ -100,12 +100,12 @@
             found = self.call(self.other, 'POST', '/peer/store', body)
             self.assertEqual(400, found.head.status)
 
-    def test_conflict_is_told_as_one(self):
-        store = self.holder.store
+    def test_conflict_is_reported_through_a_peer(self):
+        store = self.shard_owner.store
         self.door.trouble = Trouble.AWAY
         first = store.put('ledger/y', b'{"a": 1}', ABSENT)
         self.assertTrue(first.is_ok())
-        again = store.put('ledger/y', b'{"a": 2}', Version(3))
-        self.assertIs(FailureKind.CONFLICT, again.err_value.kind)
+        second = store.put('ledger/y', b'{"a": 2}', Version(3))
+        self.assertIs(FailureKind.CONFLICT, second.err_value.kind)
         self.assertEqual(b'{"a": 1}', store.fetch('ledger/y').ok_value.body)
         self.assertIsNone(store.fetch('ledger/none').ok_value)
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -1,8 +1,7 @@
-"""A machine that is suspended for seconds and wakes again.
+"""Suspension of a machine for some seconds.
 
-The steady clock of the system leaves that time out. What had been heard or
-proved just before counted as fresh after the wake, though others had taken
-shards over and engines had left meanwhile.
+The monotonic clock does not count that time, so reports and proofs from before
+the suspension must not count as recent after it.
 """
 
 import ast
@@ -23,61 +22,63 @@
 from tests.gateway_standins import eventually
 
 _ROOT = pathlib.Path(__file__).parents[1]
-_SLEPT = 5.0
-#: Compares the two clocks, which is how a sleep is noticed.
-_MAY_COMPARE = '_suspension.py'
+_SUSPENDED_SECONDS = 5.0
+#: The only module that may read the monotonic clock.
+_SUSPENSION_MODULE = '_suspension.py'
 _PEER = PeerRecord(NodeName('n'), NodeRole.OWNER, DataHall('h'), 'a:1')
 
 
-def asleep():
-    """Let the machine have slept."""
+def suspended():
+    """Patch the clock as after a suspension."""
     awake = clock.uptime
-    return mock.patch.object(clock, 'uptime', lambda: awake() + _SLEPT)
+    return mock.patch.object(
+        clock, 'uptime', lambda: awake() + _SUSPENDED_SECONDS
+    )
 
 
-def _peer_counts_as_alive():
+def _make_live_peer():
     peer = Peer(_PEER, last_report_at=clock.uptime())
     return lambda: not peer.is_down
 
 
-def _report_counts():
+def _make_current_report():
     loads = LoadTable()
     loads.report(NodeName('n'), {'i-1': 3}, {}, version=1)
     return lambda: loads.latest(NodeName('n')) is not None
 
 
-def _engine_is_paused():
+def _make_paused_engine():
     health = EngineHealth()
     health.failed('i-1', unreachable=True)
     return lambda: health.paused('i-1')
 
 
 class AgeTest(unittest.TestCase):
-    """What was fresh is old after the wake."""
+    """State from before a suspension is out of date after it."""
 
     @parameterized.expand(
         [
-            ('peer', _peer_counts_as_alive),
-            ('report', _report_counts),
-            ('pause', _engine_is_paused),
+            ('peer', _make_live_peer),
+            ('report', _make_current_report),
+            ('pause', _make_paused_engine),
         ]
     )
-    def test_fresh_before_and_old_after(self, _name, make):
-        fresh = make()
-        self.assertTrue(fresh())
-        with asleep():
-            self.assertFalse(fresh())
+    def test_current_before_and_expired_after(self, _name, make):
+        is_current = make()
+        self.assertTrue(is_current())
+        with suspended():
+            self.assertFalse(is_current())
 
-    def test_look_tells_the_sleep_once(self):
+    def test_suspension_is_reported_once(self):
         watch = SuspensionWatch()
         self.assertEqual(0, watch.look())
-        with asleep():
-            self.assertAlmostEqual(_SLEPT, watch.look(), 1)
+        with suspended():
+            self.assertAlmostEqual(_SUSPENDED_SECONDS, watch.look(), 1)
             self.assertEqual(0, watch.look())
 
-    def test_product_reads_one_clock(self):
-        """No age or deadline is measured by the clock that leaves it out."""
-        found = [
+    def test_monotonic_clock_is_not_used(self):
+        """Ages and deadlines must include the time of a suspension."""
+        names = [
             path.name
             for folder in ('packages', 'platform')
             for path in (_ROOT / folder).rglob('*.py')
@@ -88,37 +89,37 @@
                 for node in ast.walk(ast.parse(path.read_text()))
             )
         ]
-        self.assertEqual([_MAY_COMPARE], found)
+        self.assertEqual([_SUSPENSION_MODULE], names)
 
 
 class OwnerTest(OwnerCase):
-    """An owner wakes, and another may hold its shards."""
+    """An owner resumes, and another may own its shards."""
 
-    def test_proof_from_before_the_sleep_is_not_enough(self):
+    def test_proof_from_before_the_suspension_expires(self):
         self.configure()
         node = self.holding()
         board = node._keeper.owned[node_shard()]
         self.assertTrue(board.confirm_ownership(1.5).is_ok())
         calls = len(self.store.calls)
-        with asleep():
+        with suspended():
             self.assertTrue(board.confirm_ownership(1.5).is_ok())
         self.assertGreater(len(self.store.calls), calls)
 
-    def test_held_calls_are_doubted(self):
+    def test_watch_calls_are_restarted(self):
         self.configure()
         node = self.holding()
         eventually(lambda: node.fleet.config_watch.holding)
         gevent.spawn(node._sweep)
         gevent.sleep(0.1)
-        with asleep():
-            line = eventually(
+        with suspended():
+            lines = eventually(
                 lambda: [
-                    one
-                    for one in node.log.recent
-                    if 'event=machine-suspended' in one
+                    line
+                    for line in node.log.recent
+                    if 'event=machine-suspended' in line
                 ]
             )
             gevent.sleep(0.2)
-        self.assertIn('seconds=5', line[0])
-        doubted = [one for one in node.log.recent if 'watch-doubted' in one]
-        self.assertIn('prefix=config/', '\n'.join(doubted))
+        self.assertIn('seconds=5', lines[0])
+        restarts = [line for line in node.log.recent if 'watch-doubted' in line]
+        self.assertIn('prefix=config/', '\n'.join(restarts))
--- a/tests/test_gateway_watcher.py
+++ b/tests/test_gateway_watcher.py
@@ -1,4 +1,4 @@
-"""Watchers: every change arrives, and a series of them costs few calls."""
+"""Watchers apply every change and need few calls for a series of changes."""
 
 import unittest
 
@@ -16,8 +16,8 @@
 _CHANGES = 20
 
 
-class _Names:
-    """Keep the names that were seen."""
+class _Keys:
+    """Follower that collects keys."""
 
     def __init__(self):
         self.seen = set()
@@ -30,17 +30,17 @@
 
 
 class WatcherTest(unittest.TestCase):
-    """A store that counts its calls, and one watcher."""
+    """One watcher and a store that counts its calls."""
 
     @parameterized.expand([('at_once', 0.0, 20), ('gathered', 0.3, 5)])
     def test_series_of_changes(self, _name, gather, most):
         store = PlatformStandIn(f'127.0.0.1:{free_port()}')
         store.start()
-        names = _Names()
+        keys = _Keys()
         watcher = Watcher(
             PlatformStore(store.address),
             PlatformDialect.peers_prefix,
-            names,
+            keys,
             Log('test'),
             Semaphore(),
             gather,
@@ -52,6 +52,6 @@
         for number in range(_CHANGES):
             store.set('bendlead-nodes', f'node-{number}', {'n': number})
             gevent.sleep(0.02)
-        eventually(lambda: len(names.seen) == _CHANGES)
+        eventually(lambda: len(keys.seen) == _CHANGES)
         gevent.sleep(gather)
         self.assertLessEqual(len(store.calls) - before, most + 1)
