--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/claims.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/claims.py
@@ -23,7 +23,7 @@
     def __init__(self, live: Callable[[], Sequence[Peer]]) -> None:
         self._live = live
 
-    def holder(self, shard: int) -> Claim | None:
+    def owner(self, shard: int) -> Claim | None:
         """Return the live peer that owns a shard at the highest epoch."""
         best: Claim | None = None
         for peer in self._live():
@@ -32,7 +32,7 @@
                 best = Claim(peer.record.node, peer.record.address, epoch)
         return best if best and best.epoch else None
 
-    def way_to(self, shard: int) -> Claim | None:
+    def relay_to_owner(self, shard: int) -> Claim | None:
         """Return a live entry that receives the reports of a shard's owner.
 
         An entry that is draining is left out: it may stop before the owner
@@ -45,7 +45,7 @@
                 best = Claim(peer.record.node, peer.record.address, epoch)
         return best if best and best.epoch else None
 
-    def claimed(self, shard: int) -> int:
+    def highest_epoch(self, shard: int) -> int:
         """Return the highest epoch at which a live node owns a shard, or 0.
 
         Relayed claims count too: an owner that only this node cannot reach
@@ -56,7 +56,7 @@
             default=0,
         )
 
-    def holder_is_stuck(self, shard: int, epoch: int) -> bool:
+    def owner_cannot_write(self, shard: int, epoch: int) -> bool:
         """Return whether the owner at an epoch reports that it cannot write."""
         return any(
             peer.report is not None
@@ -65,7 +65,7 @@
             for peer in self._live()
         )
 
-    def heard(self) -> list[HeldShard]:
+    def direct_claims(self) -> list[HeldShard]:
         """List the claims in reports received from peers directly."""
         return [
             claim
@@ -74,7 +74,7 @@
             for claim in peer.report.shards
         ]
 
-    def able_owners(self) -> list[NodeName]:
+    def available_owners(self) -> list[NodeName]:
         """List the live peers that can own shards."""
         return [
             peer.record.node
@@ -112,7 +112,7 @@
     return _epoch_among((*report.shards, *report.heard), shard)
 
 
-def held_shards(epochs: dict[int, int]) -> list[HeldShard]:
+def shard_claims(epochs: dict[int, int]) -> list[HeldShard]:
     """Build the list of owned shards for a report."""
     return [
         HeldShard(shard=shard, epoch=epoch) for shard, epoch in epochs.items()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/relay.py
@@ -94,10 +94,10 @@
 
         Return None once the client has a response, else why there is none yet.
         """
-        claim = self._peers.claims.holder(shard)
+        claim = self._peers.claims.owner(shard)
         if claim is not None:
             return self._try_node(claim, request, responder)
-        entry = None if forwarded else self._peers.claims.way_to(shard)
+        entry = None if forwarded else self._peers.claims.relay_to_owner(shard)
         if entry is None:
             return 'no owner'
         self._log.event(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -87,7 +87,7 @@
     def hand_over(self) -> None:
         """Give up shards without pending commits, if any peer can own them."""
         self._leaving = True
-        if not self._peers.claims.able_owners():
+        if not self._peers.claims.available_owners():
             return
         ready = {
             shard: owned
@@ -111,7 +111,7 @@
 
     def _check(self, shard: int, sound: bool) -> None:
         owned = self.owned.get(shard)
-        claimed = self._peers.claims.claimed(shard)
+        claimed = self._peers.claims.highest_epoch(shard)
         if owned is not None:
             # An owner that cannot write keeps its shard until another takes
             # over: its items go on, and the epoch fences late writes.
@@ -148,16 +148,16 @@
             self._initial_owners[shard] = owner.ok_value
         node = NodeName(self._initial_owners[shard])
         own = node == self._record.node
-        return own or node in self._peers.claims.able_owners()
+        return own or node in self._peers.claims.available_owners()
 
     def _is_preferred(self, shard: int) -> bool:
         """Return whether this process is the preferred owner of a shard."""
-        nodes = [*self._peers.claims.able_owners(), self._record.node]
+        nodes = [*self._peers.claims.available_owners(), self._record.node]
         return preferred_owner(shard, nodes) == self._record.node
 
     def _may_replace(self, shard: int, epoch: int) -> bool:
         """Return whether the owner cannot write while this process can."""
-        if not self._peers.claims.holder_is_stuck(shard, epoch):
+        if not self._peers.claims.owner_cannot_write(shard, epoch):
             return False
         self._attempted_at[shard] = clock.uptime()
         return self._grace_period.is_over(shard)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -174,7 +174,7 @@
             node=self.settings.node,
             sound=True,
             leaving=self.leaving,
-            heard=self.peers.claims.heard(),
+            heard=self.peers.claims.direct_claims(),
             online={name: count for name, count in own.online.items() if count},
             batch={name: count for name, count in own.batch.items() if count},
             run_ms=round(self.fleet.pace.run_seconds * _MS),
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -6,7 +6,7 @@
 from bendlead_store import FollowedStore, clock
 from msgspec.structs import replace
 
-from bendlead_gateway._fleet.claims import held_shards
+from bendlead_gateway._fleet.claims import shard_claims
 from bendlead_gateway._http.messages import Request, Responder
 from bendlead_gateway._jobs.api import JobApi
 from bendlead_gateway._jobs.retirement import Retirement
@@ -86,7 +86,7 @@
         return replace(
             super().report(),
             sound=self._sound(),
-            shards=held_shards(self._keeper.epochs()),
+            shards=shard_claims(self._keeper.epochs()),
         )
 
     def state(self) -> dict[str, object]:
--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -155,7 +155,7 @@
         first = self.holding()
         self.submit(first)
         second = self.owner('owner-2')
-        eventually(second.peers.claims.able_owners)
+        eventually(second.peers.claims.available_owners)
         return first, second
 
     def call(self, node, method, target, body=b'', wait=0, name='j1'):
--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -31,8 +31,8 @@
         self.configure()
         first = self.holding()
         second = self.owner('owner-2')
-        eventually(second.peers.claims.able_owners)
-        eventually(first.peers.claims.able_owners)
+        eventually(second.peers.claims.available_owners)
+        eventually(first.peers.claims.available_owners)
         read = self._start_read(first)
         self.store.set('retirements', 'owner-1', {'duration_s': 5})
         status = eventually(
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -84,8 +84,8 @@
     def test_claim(self, _name, held, heard, claimed, owner):
         self.receive('a', held)
         self.receive('e', heard=heard)
-        self.assertEqual(claimed, self.peers.claims.claimed(1))
-        found = self.peers.claims.holder(1)
+        self.assertEqual(claimed, self.peers.claims.highest_epoch(1))
+        found = self.peers.claims.owner(1)
         self.assertEqual(owner, found and found.node)
 
     @parameterized.expand(
@@ -100,7 +100,9 @@
             node='a', sound=sound, leaving=False, shards=shards((1, 3))
         )
         self.peers.exchange(msgspec.json.encode(report))
-        self.assertEqual(expected, self.peers.claims.holder_is_stuck(1, epoch))
+        self.assertEqual(
+            expected, self.peers.claims.owner_cannot_write(1, epoch)
+        )
 
     @parameterized.expand([('stays', False, 'e'), ('leaves', True, None)])
     def test_route_by_an_entry(self, _name, leaving, route):
@@ -109,12 +111,12 @@
             node='e', sound=True, leaving=leaving, heard=shards((1, 3))
         )
         self.peers.exchange(msgspec.json.encode(report))
-        found = self.peers.claims.way_to(1)
+        found = self.peers.claims.relay_to_owner(1)
         self.assertEqual(route, found and found.node)
 
     def test_peer_without_report_is_ignored(self):
-        self.assertEqual(0, self.peers.claims.claimed(1))
-        self.assertEqual([], self.peers.claims.able_owners())
+        self.assertEqual(0, self.peers.claims.highest_epoch(1))
+        self.assertEqual([], self.peers.claims.available_owners())
 
 
 class RelayedLoadTest(PeerCase):
@@ -203,7 +205,7 @@
         task = gevent.spawn(self.peers.watch_owners)
         self.addCleanup(task.kill)
         gevent.sleep(0.6)
-        self.assertEqual(claimed, self.peers.claims.claimed(1))
+        self.assertEqual(claimed, self.peers.claims.highest_epoch(1))
 
     def listen(self, refuses):
         """List an owner whose address refuses or accepts connections."""
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -29,8 +29,8 @@
     def isolate(self, *nodes):
         """Hide owners from each other."""
         for node in nodes:
-            node.peers.claims.claimed = lambda _shard: 0
-            node.peers.claims.able_owners = list
+            node.peers.claims.highest_epoch = lambda _shard: 0
+            node.peers.claims.available_owners = list
 
     def run_first_events(self, node):
         """Run an item whose engine stops after two events."""
@@ -59,7 +59,7 @@
         self.configure([_INCOMPLETE, _REMAINDER])
         first = self.holding()
         second = self.owner('owner-2')
-        eventually(second.peers.claims.able_owners)
+        eventually(second.peers.claims.available_owners)
         self.run_first_events(first)
         running = first._keeper.owned[node_shard()].jobs['j1']
         eventually(lambda: running.progress['i0'].last_event == 2)
@@ -76,7 +76,7 @@
         self.configure([])
         first = self.holding()
         second = self.owner('owner-2')
-        eventually(second.peers.claims.able_owners)
+        eventually(second.peers.claims.available_owners)
         first.leaving = True
         owned = dict(first._keeper.owned)
         shard = owned.pop(node_shard())
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -91,7 +91,7 @@
         entry.serve()
         gevent.spawn(entry._sweep)
         eventually(lambda: entry.fleet.config_watch.holding)
-        eventually(lambda: entry.peers.claims.able_owners(), 5)
+        eventually(lambda: entry.peers.claims.available_owners(), 5)
         gevent.sleep(1 + rest)
         link.silence()
         began = time.monotonic()
--- a/tests/test_gateway_store_failover.py
+++ b/tests/test_gateway_store_failover.py
@@ -49,7 +49,7 @@
     def are_connected(self):
         """Return whether each owner receives the reports of the other."""
         nodes = (self.shard_owner, self.other)
-        return all(node.peers.claims.able_owners() for node in nodes)
+        return all(node.peers.claims.available_owners() for node in nodes)
 
     @parameterized.expand(_TROUBLES)
     def test_jobs_are_accepted_in_time(self, _name, trouble):
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -34,9 +34,9 @@
         results = eventually(lambda: self.results(first))
         second = self.owner('owner-2')
         # Neither owner has reports of the other, as in a network partition.
-        second.peers.claims.claimed = lambda _shard: 0
-        second.peers.claims.able_owners = list
-        first.peers.claims.claimed = lambda _shard: 0
+        second.peers.claims.highest_epoch = lambda _shard: 0
+        second.peers.claims.available_owners = list
+        first.peers.claims.highest_epoch = lambda _shard: 0
         eventually(lambda: len(second._keeper.owned) == 4, 5)
         self.assertEqual(results, self.results(second))
         response = eventually(
@@ -160,13 +160,11 @@
         owner = self.holding()
         entries = [self.entry(name) for name in ('entry-1', 'entry-2')]
         for entry in entries:
-            eventually(
-                lambda node=entry: node.peers.claims.holder(node_shard())
-            )
+            eventually(lambda node=entry: node.peers.claims.owner(node_shard()))
             eventually(lambda node=entry: node.fleet.configuration.known)
-        eventually(lambda: entries[0].peers.claims.way_to(node_shard()))
+        eventually(lambda: entries[0].peers.claims.relay_to_owner(node_shard()))
         for entry in entries[: 1 if known else 2]:
-            entry.peers.claims.holder = lambda _shard: None
+            entry.peers.claims.owner = lambda _shard: None
         status = self.request(entries[0], 'POST', '/x/', job())
         self.assertEqual(202 if known else 503, status)
         status = self.request(entries[0], 'GET', '/-/lots/j1')
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -352,7 +352,7 @@
         self.store.set('config', 'main', made)
         for node in (self.entry, self.owner):
             eventually(lambda node=node: node.fleet.configuration.version == 2)
-        eventually(lambda: self.entry.peers.claims.holder(0))
+        eventually(lambda: self.entry.peers.claims.owner(0))
 
     def call(self, method, target, key, body=b''):
         """Send a call about a job with a key; return the status."""
