--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -81,7 +81,7 @@
             slowness=self._pace.slowness(engine),
             stall=self._pace.stall(engine),
             same_hall=engine.hall == self._hall,
-            silent=self._health.silent(name, busy_since),
+            silent=self._health.is_unresponsive(name, busy_since),
             warming=self._engines.warming(engine),
             paused=paused,
             doubted=assessment.state is HealthState.DOUBTED,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -54,7 +54,7 @@
         )
         self.suspects = Suspects(
             self.engines.takes_requests,
-            self.health.heard_at,
+            self.health.last_activity_at,
             store,
             dialect.suspects_prefix,
             log,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/health.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/health.py
@@ -13,7 +13,7 @@
 _FAILURE_THRESHOLD = 2
 #: An engine with running requests that sends nothing on any connection for
 #: this long is unresponsive or overloaded.
-_SILENT_SECONDS = 0.25
+_UNRESPONSIVE_SECONDS = 0.25
 
 
 class _Record(Struct):
@@ -36,31 +36,35 @@
         record = self._records.get(engine)
         return bool(record) and clock.uptime() < record.paused_until
 
-    def heard(self, engine: EngineId) -> None:
+    def record_activity(self, engine: EngineId) -> None:
         """Record that bytes of a response arrived."""
         self._record(engine).last_activity_at = clock.uptime()
 
-    def heard_at(self, engine: EngineId) -> float:
+    def last_activity_at(self, engine: EngineId) -> float:
         """Return when bytes last arrived (uptime, s), or 0 for never."""
         record = self._records.get(engine)
         return record.last_activity_at if record else 0
 
-    def silent(self, engine: EngineId, busy_since: float | None) -> bool:
+    def is_unresponsive(
+        self, engine: EngineId, busy_since: float | None
+    ) -> bool:
         """Return whether an engine with running requests stopped sending."""
         if busy_since is None:
             return False
         record = self._records.get(engine)
         active_at = max(busy_since, record.last_activity_at if record else 0)
-        return clock.uptime() - active_at > _SILENT_SECONDS
+        return clock.uptime() - active_at > _UNRESPONSIVE_SECONDS
 
-    def succeeded(self, engine: EngineId) -> None:
+    def record_success(self, engine: EngineId) -> None:
         """Record a complete response and end the backoff."""
         record = self._record(engine)
         record.failures = 0
         record.pause = _FIRST_PAUSE_SECONDS
         record.paused_until = 0
 
-    def failed(self, engine: EngineId, unreachable: bool = False) -> bool:
+    def record_failure(
+        self, engine: EngineId, unreachable: bool = False
+    ) -> bool:
         """Record a failed request; return whether the engine is paused now."""
         record = self._record(engine)
         record.failures += 1
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -99,7 +99,9 @@
         try:
             run.connection = self._fleet.pool.take(run.engine)
         except OSError as error:
-            self._fleet.health.failed(run.engine.engine, unreachable=True)
+            self._fleet.health.record_failure(
+                run.engine.engine, unreachable=True
+            )
             raise RunFailedError(
                 f'cannot connect to engine: {error}'
             ) from error
@@ -139,7 +141,7 @@
                 run.engine, run.sent_at, lambda: run.digest
             )
             self._read_events(run, connection, head)
-            self._fleet.health.succeeded(run.engine.engine)
+            self._fleet.health.record_success(run.engine.engine)
             self._fleet.pool.give_back(
                 run.engine, connection, answer.idle_seconds
             )
@@ -148,7 +150,9 @@
         if answer.not_run:
             run.postpone()
             if answer.misdirected:
-                self._fleet.health.failed(run.engine.engine, unreachable=True)
+                self._fleet.health.record_failure(
+                    run.engine.engine, unreachable=True
+                )
                 self._fleet.shared_health.record_failure(
                     run.engine, FailureKind.REFUSED, None
                 )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -137,7 +137,7 @@
             ):
                 if views[number].stalled:
                     engine = service_runs[number].engine.engine
-                    self._fleet.health.failed(engine, unreachable=True)
+                    self._fleet.health.record_failure(engine, unreachable=True)
                     self._report_silence(service_runs[number])
                 self._stop(service_runs[number], StopCause.MOVED)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -236,7 +236,7 @@
                     run.digest, run.sent_at, run.response_started
                 )
                 self._fleet.suspects.record_broken(run.engine, broken)
-            self._fleet.health.failed(run.engine.engine)
+            self._fleet.health.record_failure(run.engine.engine)
             self._report_failure(run, error)
             run.progress.not_before = clock.uptime() + _RETRY_PAUSE_SECONDS
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -100,7 +100,9 @@
         except OSError as error:
             if isinstance(error, ConnectionRefusedError):
                 self._fleet.suspects.crash_detector.record_refused(engine)
-            paused = self._health.failed(engine.engine, unreachable=True)
+            paused = self._health.record_failure(
+                engine.engine, unreachable=True
+            )
             self._log_failure(engine, Step.CONNECT, error, paused)
             self._shared.record_failure(engine, classify_error(error), None)
             raise UnreachableError(f'connect: {error}') from error
@@ -111,20 +113,20 @@
         """Relay the response; return the keep-alive time (s) of the engine."""
         engine = view.engine
         head = self._send_and_read_head(exchange, view, connection)
-        self._health.heard(engine.engine)
+        self._health.record_activity(engine.engine)
         answer = self._dialect.engine_answer(head.status, head.headers)
         if answer.closing:
             connection.disable_reuse()
         if answer.not_run:
             self._read_refusal(connection, head)
             if answer.misdirected:
-                self._health.failed(engine.engine, unreachable=True)
+                self._health.record_failure(engine.engine, unreachable=True)
                 self._shared.record_failure(engine, FailureKind.REFUSED, None)
             raise NotRunError(
                 f'engine responded with status {head.status}, request not run'
             )
         if head.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            paused = self._health.failed(engine.engine)
+            paused = self._health.record_failure(engine.engine)
             self._log_failure(
                 engine, Step.HEAD, f'status {head.status}', paused
             )
@@ -162,7 +164,7 @@
             if silent and reused:
                 # Other idle connections may be dead as well.
                 self._fleet.pool.forget_all()
-            paused = self._health.failed(
+            paused = self._health.record_failure(
                 engine.engine, unreachable=silent and timeout is None
             )
             self._log_failure(engine, Step.HEAD, error, paused)
@@ -250,7 +252,9 @@
         except (BrokenStreamError, UnknownOutcomeError) as broken:
             connection.close()
             silent = isinstance(broken.__cause__, ResponseTimeoutError)
-            paused = self._health.failed(engine.engine, unreachable=silent)
+            paused = self._health.record_failure(
+                engine.engine, unreachable=silent
+            )
             self._log_failure(engine, Step.BODY, broken, paused)
             self._shared.record_failure(
                 engine,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -82,7 +82,7 @@
         else:
             self._relay_buffered(head)
         if head.status < HTTPStatus.INTERNAL_SERVER_ERROR:
-            self._health.succeeded(self._engine.engine)
+            self._health.record_success(self._engine.engine)
             if self._first_part_at:
                 run_seconds = clock.uptime() - self._first_part_at
                 self._pace.observe_run(run_seconds)
@@ -156,7 +156,7 @@
         if self._exchange.route.kind is RouteKind.STREAM:
             self._stream.take(part, now)
         name = self._engine.engine
-        self._health.heard(name)
+        self._health.record_activity(name)
         if not self._exchange.first_event:
             self._exchange.first_event = now
         if not self._first_part_at:
--- a/testing/src/bendlead_testing/health_replay.py
+++ b/testing/src/bendlead_testing/health_replay.py
@@ -396,9 +396,9 @@
         name = engine.engine
         if self.mode is DetectionMode.LOCAL:
             if failed:
-                process.health.failed(name)
+                process.health.record_failure(name)
             else:
-                process.health.succeeded(name)
+                process.health.record_success(name)
             return
         incarnation = incarnation_of(engine)
         if process.trials.pop(incarnation, None) is not None:
--- a/tests/test_gateway_balancer.py
+++ b/tests/test_gateway_balancer.py
@@ -90,14 +90,14 @@
 
     def test_paused_engine_is_skipped(self):
         health = EngineHealth()
-        health.failed(EngineId('a'), unreachable=True)
+        health.record_failure(EngineId('a'), unreachable=True)
         engines = _Engines(_engine('a'), _engine('b'))
         balancer = _balancer(engines, LoadTable(), health)
         self.assertEqual('b', balancer.choose(_SERVICE, ()).view.name)
 
     def test_paused_engine_is_used_if_there_is_no_other(self):
         health = EngineHealth()
-        health.failed(EngineId('a'), unreachable=True)
+        health.record_failure(EngineId('a'), unreachable=True)
         balancer = _balancer(_Engines(_engine('a')), LoadTable(), health)
         self.assertEqual('a', balancer.choose(_SERVICE, ()).view.name)
 
--- a/tests/test_gateway_odd_entries.py
+++ b/tests/test_gateway_odd_entries.py
@@ -120,7 +120,7 @@
         self.assertEqual(200, self.read(self.ask())[0].status)
         gevent.sleep(0.05)
         for _failure in range(3):
-            fleet.health.failed('i-0', unreachable=True)
+            fleet.health.record_failure('i-0', unreachable=True)
         self.assertTrue(fleet.health.paused('i-0'))
         self.assertTrue(fleet.pool._idle['i-0'])
         self.update(born=2000)
@@ -131,7 +131,7 @@
         self.begin(born=1000)
         health = self.entry.fleet.health
         for _failure in range(3):
-            health.failed('i-0', unreachable=True)
+            health.record_failure('i-0', unreachable=True)
         self.update(born=1000, slots=4)
         self.assertTrue(health.paused('i-0'))
 
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -49,7 +49,7 @@
 
 def _make_paused_engine():
     health = EngineHealth()
-    health.failed('i-1', unreachable=True)
+    health.record_failure('i-1', unreachable=True)
     return lambda: health.paused('i-1')
 
 
