--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -76,7 +76,7 @@
             dialect.suspects_prefix, self.suspects.store
         )
 
-    def follow(self, engine: Engine) -> StreamPace:
+    def observe_stream(self, engine: Engine) -> StreamPace:
         """Return a speed observer for a new stream of an engine."""
         name = engine.engine
         return StreamPace(
@@ -111,7 +111,7 @@
 
     def notice(self, report: NodeReport) -> None:
         """Apply what a peer reports on engines and the object service."""
-        self.pace.hear_run(report.run_ms / _MS)
+        self.pace.add_peer_run(report.run_ms / _MS)
         self.shared_health.receive(report.evidence)
         self._refusals.hear(NodeName(report.node), report.refused)
         for watch in self._watches():
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace.py
@@ -16,7 +16,7 @@
 _EVENT_END = b'\n\n'
 
 #: Called with each new estimate of this process.
-OnFinding = Callable[[Engine, SpeedEstimate], None]
+OnEstimate = Callable[[Engine, SpeedEstimate], None]
 
 
 def _ignore_estimate(engine: Engine, estimate: SpeedEstimate) -> None:
@@ -29,7 +29,7 @@
     def __init__(self) -> None:
         self._gaps: dict[EngineId, float] = {}
         self.speeds = EngineSpeeds()
-        self.on_finding: OnFinding = _ignore_estimate
+        self.on_estimate: OnEstimate = _ignore_estimate
         #: Smoothed time for which a request uses its slot.
         self.run_seconds = 0.0
 
@@ -48,7 +48,7 @@
             self.run_seconds = seconds
         self.run_seconds += (seconds - self.run_seconds) * _SMOOTHING_FACTOR
 
-    def hear_run(self, seconds: float) -> None:
+    def add_peer_run(self, seconds: float) -> None:
         """Add a peer's smoothed run time, for processes with few requests."""
         if seconds > 0:
             if not self.run_seconds:
@@ -96,7 +96,7 @@
         self._chunks = 0
         self._running_sum = 0
 
-    def take(self, part: bytes, now: float) -> None:
+    def add_chunk(self, chunk: bytes, now: float) -> None:
         """Add a chunk of the stream, which may contain several events."""
         if self._warming:
             return
@@ -104,7 +104,7 @@
             self._first_at = now
             self._last_at = now
             return
-        events = part.count(_EVENT_END)
+        events = chunk.count(_EVENT_END)
         if not events:
             return
         running = self._running()
@@ -116,7 +116,7 @@
         )
         self._last_at = now
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """Update the estimate of the engine at the end of a complete stream."""
         if self._events < _MIN_EVENTS:
             return
@@ -127,4 +127,4 @@
             self._last_at,
         )
         if estimate is not None:
-            self._pace.on_finding(self._engine, estimate)
+            self._pace.on_estimate(self._engine, estimate)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
@@ -62,7 +62,7 @@
         self._uneven: Collection[str] = ()
         #: Findings by source.
         self.counts: Counter[str] = Counter()
-        pace.on_finding = self._on_own_finding
+        pace.on_estimate = self._on_own_finding
 
     def outgoing(self) -> list[ToldPace]:
         """Return the findings for one report."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -65,7 +65,7 @@
         self._connection = connection
         self._health = fleet.health
         self._pace = fleet.pace
-        self._stream = fleet.follow(engine)
+        self._stream = fleet.observe_stream(engine)
         self._first_part_at = 0.0
         self._last_part_at = 0.0
 
@@ -86,7 +86,7 @@
             if self._first_part_at:
                 run_seconds = clock.uptime() - self._first_part_at
                 self._pace.observe_run(run_seconds)
-                self._stream.end()
+                self._stream.finish()
 
     def _relay_bytes(self, head: ResponseHead) -> None:
         """Relay a stream that no other engine can resume."""
@@ -154,7 +154,7 @@
     def _observe(self, part: bytes) -> None:
         now = clock.uptime()
         if self._exchange.route.kind is RouteKind.STREAM:
-            self._stream.take(part, now)
+            self._stream.add_chunk(part, now)
         name = self._engine.engine
         self._health.record_activity(name)
         if not self._exchange.first_event:
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -214,8 +214,8 @@
         )
         began = clock.uptime()
         for number in range(9):
-            stream.take(b'data: x\n\n', began + number * _USUAL)
-        stream.end()
+            stream.add_chunk(b'data: x\n\n', began + number * _USUAL)
+        stream.finish()
 
     def _pass(self, source: int, target: int) -> NodeReport:
         report = NodeReport(
@@ -262,15 +262,15 @@
             self.paces[0], self.engine, lambda: 4, warming=False
         )
         for part in range(4):
-            stream.take(b'data: x\n\n' * 2, 1 + part * 2 * _USUAL)
-        stream.end()
+            stream.add_chunk(b'data: x\n\n' * 2, 1 + part * 2 * _USUAL)
+        stream.finish()
         self.assertAlmostEqual(_USUAL, self._gap(0), places=4)
 
     def test_warming_engine(self):
         stream = StreamPace(self.paces[0], self.engine, lambda: 4, warming=True)
         for number in range(9):
-            stream.take(b'data: x\n\n', 1 + number)
-        stream.end()
+            stream.add_chunk(b'data: x\n\n', 1 + number)
+        stream.finish()
         self.assertEqual(0, self._gap(0))
 
     @parameterized.expand(
@@ -361,11 +361,11 @@
         )
 
     def test_own_estimate(self):
-        stream = self.entry.fleet.follow(self.engine)
+        stream = self.entry.fleet.observe_stream(self.engine)
         began = clock.uptime()
         for number in range(9):
-            stream.take(b'data: x\n\n', began + number * _USUAL)
-        stream.end()
+            stream.add_chunk(b'data: x\n\n', began + number * _USUAL)
+        stream.finish()
         paces = self.entry.report().paces
         self.assertEqual([20_000], [pace.gap_us for pace in paces])
 
--- a/tests/test_gateway_traffic.py
+++ b/tests/test_gateway_traffic.py
@@ -41,7 +41,7 @@
     def test_run_seconds(self, _name, reported, expected):
         pace = PaceTable()
         for seconds in reported:
-            pace.hear_run(seconds)
+            pace.add_peer_run(seconds)
         self.assertAlmostEqual(expected, pace.run_seconds, delta=0.01)
 
     @parameterized.expand(
