--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -68,7 +68,10 @@
         team_named = self.fleet.configuration.team_named
         self.shares = TeamShares(team_named)
         self.room = RequestQueue(
-            self.fleet.balancer.wait, self.shares, team_named, self.metrics
+            self.fleet.balancer.estimate_wait,
+            self.shares,
+            team_named,
+            self.metrics,
         )
         self._online = OnlinePath(
             dialect,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -107,13 +107,13 @@
             views = list(prefer_trusted(views, once=once))
         return choose_engine(views, self.traffic, random.random)
 
-    def take_trial(self, service: ServiceName) -> EngineView | None:
+    def start_trial(self, service: ServiceName) -> EngineView | None:
         """Return an engine that is due for a trial by a batch item, if any."""
         if self._shared is None or not self._shared.any_failures:
             return None
         return self._shared.start_trial(self.views(service))
 
-    def wait(self, service: ServiceName) -> float | None:
+    def estimate_wait(self, service: ServiceName) -> float | None:
         """Estimate the wait (s) of a further request; None without engines."""
         # No request is sent, so no trial may be started.
         placement = self.choose(service, (), once=True)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -135,7 +135,7 @@
         return self.config_watch, self.engines_watch, self.suspects_watch
 
     def _forget(self, engine: Engine) -> None:
-        self.pool.forget(engine.engine)
+        self.pool.close_engine(engine.engine)
         self.health.forget(engine.engine)
         self.shared_health.forget(engine)
         self.pace.forget(engine)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pool.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pool.py
@@ -26,7 +26,7 @@
 
     _idle: dict[EngineId, list[_IdleConnection]] = field(default_factory=dict)
 
-    def take(self, engine: Engine) -> HttpConnection:
+    def acquire(self, engine: Engine) -> HttpConnection:
         """Return an idle connection or open one.
 
         Raises OSError if the engine cannot be connected to.
@@ -40,7 +40,7 @@
             entry.connection.close()
         return HttpConnection(engine.address, _CONNECT_TIMEOUT_SECONDS)
 
-    def give_back(
+    def release(
         self,
         engine: Engine,
         connection: HttpConnection,
@@ -56,15 +56,15 @@
             seconds = min(seconds, idle_seconds * _IDLE_TIMEOUT_SHARE)
         idle.append(_IdleConnection(connection, clock.uptime() + seconds))
 
-    def forget(self, engine: EngineId) -> None:
+    def close_engine(self, engine: EngineId) -> None:
         """Close the idle connections of an engine."""
         for entry in self._idle.pop(engine, ()):
             entry.connection.close()
 
-    def forget_all(self) -> None:
+    def close_all(self) -> None:
         """Close all idle connections."""
         for engine in list(self._idle):
-            self.forget(engine)
+            self.close_engine(engine)
 
     def close_expired(self) -> None:
         """Close the connections that were idle for too long."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -97,7 +97,7 @@
 
     def _connect(self, run: ItemRun) -> HttpConnection:
         try:
-            run.connection = self._fleet.pool.take(run.engine)
+            run.connection = self._fleet.pool.acquire(run.engine)
         except OSError as error:
             self._fleet.health.record_failure(
                 run.engine.engine, unreachable=True
@@ -142,7 +142,7 @@
             )
             self._read_events(run, connection, head)
             self._fleet.health.record_success(run.engine.engine)
-            self._fleet.pool.give_back(
+            self._fleet.pool.release(
                 run.engine, connection, answer.idle_seconds
             )
             return ItemOutcome.COMPLETED
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -165,7 +165,7 @@
         if candidate.progress.failures or service in tried_services:
             return False
         tried_services.add(service)
-        view = self._fleet.balancer.take_trial(service)
+        view = self._fleet.balancer.start_trial(service)
         if view is not None:
             self._start(candidate, view.engine)
         return view is not None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -92,11 +92,11 @@
         finally:
             loads.own.online[name] -= 1
             if connection is not None:
-                self._fleet.pool.give_back(engine, connection, idle_seconds)
+                self._fleet.pool.release(engine, connection, idle_seconds)
 
     def _connect(self, engine: Engine) -> HttpConnection:
         try:
-            return self._fleet.pool.take(engine)
+            return self._fleet.pool.acquire(engine)
         except OSError as error:
             if isinstance(error, ConnectionRefusedError):
                 self._fleet.suspects.crash_detector.record_refused(engine)
@@ -163,7 +163,7 @@
             silent = isinstance(error, ResponseTimeoutError)
             if silent and reused:
                 # Other idle connections may be dead as well.
-                self._fleet.pool.forget_all()
+                self._fleet.pool.close_all()
             paused = self._health.record_failure(
                 engine.engine, unreachable=silent and timeout is None
             )
