--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -113,7 +113,7 @@
         """Apply what a peer reports on engines and the object service."""
         self.pace.add_peer_run(report.run_ms / _MS)
         self.shared_health.receive(report.evidence)
-        self._refusals.hear(NodeName(report.node), report.refused)
+        self._refusals.receive(NodeName(report.node), report.refused)
         for watch in self._watches():
             watch.notice(report.revisions.get(watch.prefix, 0))
         if 0 <= report.answered_ms < report.failed_ms:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/refusals.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/refusals.py
@@ -37,20 +37,20 @@
         self._latest: dict[ServiceName, float] = {}
 
     @property
-    def own(self) -> dict[str, int]:
+    def own_counts(self) -> dict[str, int]:
         """Return the refusals of this process by service."""
         return dict(self._own)
 
-    def refused(self, service: ServiceName) -> None:
+    def record(self, service: ServiceName) -> None:
         """Count a request that this process refused."""
         self._own[service] += 1
 
-    def since(self, service: ServiceName) -> float:
+    def seconds_since(self, service: ServiceName) -> float:
         """Return the seconds since a peer's last known refusal, or infinity."""
         refused_at = self._latest.get(service)
         return math.inf if refused_at is None else clock.uptime() - refused_at
 
-    def hear(self, node: NodeName, counts: Mapping[str, int]) -> None:
+    def receive(self, node: NodeName, counts: Mapping[str, int]) -> None:
         """Apply a peer's counts; its first ones only serve for comparison."""
         now = clock.uptime()
         known = self._peer_counts.get(node)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -95,7 +95,7 @@
         by_service = _by_service(runs)
         for service in self._states.services.keys() | by_service.keys():
             service_runs = by_service.get(service, [])
-            refused_seconds = self._fleet.refusals.since(service)
+            refused_seconds = self._fleet.refusals.seconds_since(service)
             held_back = capacity.lacks_online_slots(service, refused_seconds)
             if held_back:
                 self._release_slots(service, service_runs, capacity)
@@ -168,7 +168,7 @@
             'items-held-back' if held_back else 'items-released',
             service=service,
             runs=runs,
-            refused_s=round(self._fleet.refusals.since(service), 3),
+            refused_s=round(self._fleet.refusals.seconds_since(service), 3),
             places_for_late=state.urgent_slots,
         )
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -184,7 +184,7 @@
             answered_ms=_age_ms(self.store.contact.answered_at),
             failed_ms=_age_ms(self.store.contact.failed_at),
             configuration=self.fleet.configuration.version,
-            refused=self.fleet.refusals.own,
+            refused=self.fleet.refusals.own_counts,
         )
 
     def state(self) -> dict[str, object]:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -142,7 +142,7 @@
         dequeued = exchange.dequeued
         refusal = self._admission.admit(exchange, service, placement.wait)
         if refusal:
-            self._fleet.refusals.refused(service)
+            self._fleet.refusals.record(service)
             return self._refuse(exchange, refusal.reason, refusal.retry_after)
         if exchange.dequeued != dequeued:
             # Loads have changed while it was queued.
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -249,7 +249,7 @@
         """Receive counts of one process, one second apart."""
         for count in counts:
             self.now += 1
-            self.refusals.hear(_NODE, {_CHAT: count})
+            self.refusals.receive(_NODE, {_CHAT: count})
 
     @parameterized.expand(
         [
@@ -263,21 +263,21 @@
     )
     def test_since(self, _name, counts, expected):
         self.receive(*counts)
-        self.assertEqual(expected, self.refusals.since(_CHAT))
+        self.assertEqual(expected, self.refusals.seconds_since(_CHAT))
 
     @parameterized.expand([('negative', -1), ('huge', 10**15)])
     def test_unusable(self, _name, count):
         """An invalid count is logged once and otherwise ignored."""
         self.receive(0, count, count)
-        self.assertEqual(math.inf, self.refusals.since(_CHAT))
+        self.assertEqual(math.inf, self.refusals.seconds_since(_CHAT))
         self.log.event.assert_called_once()
 
     def test_all_restarted(self):
         """Counts of processes that are gone expire."""
         self.receive(1, 2)
         self.now += 100
-        self.refusals.hear(NodeName('entry-2'), {})
-        self.assertEqual(math.inf, self.refusals.since(_CHAT))
+        self.refusals.receive(NodeName('entry-2'), {})
+        self.assertEqual(math.inf, self.refusals.seconds_since(_CHAT))
         self.assertNotIn(_NODE, self.refusals._peer_counts)
 
     def test_report_of_an_older_process(self):
