--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -226,7 +226,7 @@
             self._turns_away = sheds_connections(own=own, others=others)
 
     def _knows_fleet(self) -> bool:
-        known = self.fleet.configuration.known is not None
+        known = self.fleet.configuration.current is not None
         return (
             known
             and self.fleet.engines_watch.current
@@ -236,7 +236,7 @@
     def _answer_ready(self, request: Request, responder: Responder) -> None:
         ready = (
             request.path == self.dialect.ready_path
-            and self.fleet.configuration.known is not None
+            and self.fleet.configuration.current is not None
             and not self.leaving
         )
         responder.answer(
@@ -252,11 +252,13 @@
         call = self.dialect.job_call(
             request.method, request.target, request.headers
         )
-        if self.fleet.configuration.known is None:
+        if self.fleet.configuration.current is None:
             responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
             return
         if call is not None:
-            public = self.fleet.configuration.takes_jobs_of_all(request.host)
+            public = self.fleet.configuration.has_public_batch_route(
+                request.host
+            )
             self._answer_job_call(request, responder, public)
             return
         facts = self.dialect.request_facts(request.headers)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
@@ -39,7 +39,7 @@
 class _ActiveConfiguration(Struct, frozen=True):
     """One version with its indexes, replaced as a whole."""
 
-    known: Configuration | None = None
+    configuration: Configuration | None = None
     by_host: Mapping[str, Sequence[Route]] = field(default_factory=dict)
     by_key: Mapping[KeyDigest, Team] = field(default_factory=dict)
     by_name: Mapping[TeamName, Team] = field(default_factory=dict)
@@ -54,26 +54,26 @@
         self._active = _ActiveConfiguration()
 
     @property
-    def known(self) -> Configuration | None:
+    def current(self) -> Configuration | None:
         """Return the active configuration, if there is one."""
-        return self._active.known
+        return self._active.configuration
 
     @property
     def version(self) -> int:
         """Return the active version, or 0 for none."""
-        return self.known.version if self.known else 0
+        return self.current.version if self.current else 0
 
     @property
     def limits(self) -> ClientLimits:
         """Return the limits for client connections and requests."""
-        return self.known.limits if self.known else ClientLimits()
+        return self.current.limits if self.current else ClientLimits()
 
     @property
-    def asks_for_keys(self) -> bool:
+    def requires_key(self) -> bool:
         """Return whether callers must send the key of a team."""
-        return bool(self.known and self.known.teams)
+        return bool(self.current and self.current.teams)
 
-    def team_of(self, key: KeyDigest) -> Team | None:
+    def team_by_key(self, key: KeyDigest) -> Team | None:
         """Return the team that a key belongs to, if any."""
         return self._active.by_key.get(key)
 
@@ -81,7 +81,7 @@
         """Return the team of a name, if configured."""
         return self._active.by_name.get(name)
 
-    def takes_jobs_of_all(self, host: str) -> bool:
+    def has_public_batch_route(self, host: str) -> bool:
         """Return whether a host has a batch route that needs no key."""
         return any(
             route.public and route.kind is RouteKind.BATCH
@@ -98,9 +98,9 @@
         if not change.deleted:
             self._apply_entry(Entry(change.key, change.version, change.body))
 
-    def take(self, found: Configuration, source: str) -> None:
+    def activate(self, found: Configuration, source: str) -> None:
         """Activate a configuration unless the active one is as new."""
-        if self.known and found.version <= self.version:
+        if self.current and found.version <= self.version:
             self._log.event(
                 'config-older',
                 version=found.version,
@@ -136,7 +136,7 @@
         if isinstance(decoded, Err):
             self._log.event('config-unreadable', reason=decoded.err_value)
             return
-        self.take(decoded.ok_value, 'object service')
+        self.activate(decoded.ok_value, 'object service')
 
 
 class EngineList:
@@ -166,11 +166,11 @@
         """List all engines, including draining ones."""
         return list(self._engines.values())
 
-    def named(self, name: EngineId) -> Engine | None:
+    def find(self, name: EngineId) -> Engine | None:
         """Return the engine of an id, if it is listed."""
         return self._engines.get(name)
 
-    def takes_requests(self, engine: Engine) -> bool:
+    def is_ready(self, engine: Engine) -> bool:
         """Return whether this incarnation of an engine is listed as ready."""
         known = self._engines.get(engine.engine)
         if known is None or known.born != engine.born:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -53,7 +53,7 @@
             local_node, self.engines.all, log, metrics
         )
         self.suspects = Suspects(
-            self.engines.takes_requests,
+            self.engines.is_ready,
             self.health.last_activity_at,
             store,
             dialect.suspects_prefix,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
@@ -153,7 +153,7 @@
             MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS
             and 0 < pace.streams <= _MAX_STREAMS
         )
-        engine = self._engines.named(EngineId(pace.engine))
+        engine = self._engines.find(EngineId(pace.engine))
         if not plausible or engine is None:
             return False
         finding = SpeedEstimate(gap, pace.streams, now)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_configuration.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_configuration.py
@@ -63,7 +63,7 @@
             )
             return
         self._behind_since = 0
-        self._holder.take(fetched.ok_value, peer.node)
+        self._holder.activate(fetched.ok_value, peer.node)
 
 
 def _request(peer: PeerRecord) -> Result[Configuration, Failure]:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -133,7 +133,7 @@
     ) -> None:
         """Reject a job; Retry-After is when the excess should be processed."""
         headers = _FULL_RETRY_AFTER
-        if self._configuration.asks_for_keys:
+        if self._configuration.requires_key:
             seconds = self._runner.backlog_rates.estimate_seconds(
                 submission.host,
                 submission.team,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -91,7 +91,7 @@
             else:
                 urgency = self.urgency(job, progress, route)
                 found.append(Candidate(urgency, board, job, progress, route))
-        if not self._fleet.configuration.asks_for_keys:
+        if not self._fleet.configuration.requires_key:
             found.sort(key=_urgency_of)
             return found
         costs = [candidate.cost for candidate in found]
@@ -146,7 +146,10 @@
         Only once the configuration is current: an older one may lack the
         route.
         """
-        if self._fleet.config_watch.current and self._fleet.configuration.known:
+        if (
+            self._fleet.config_watch.current
+            and self._fleet.configuration.current
+        ):
             self._give_up(board, job, progress)
 
     def _quarantined(self, job: OwnedJob, progress: Progress) -> bool:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -152,7 +152,7 @@
         return RunView(
             self._candidates.remaining_seconds(run.progress),
             run.silent_seconds,
-            draining=not self._fleet.engines.takes_requests(engine),
+            draining=not self._fleet.engines.is_ready(engine),
             paused=self._fleet.balancer.view(engine).paused,
         )
 
@@ -174,7 +174,7 @@
 
     def _is_outranked(self, service: ServiceName, route: Route) -> bool:
         """Return whether an online route of the service outranks the route."""
-        known = self._fleet.configuration.known
+        known = self._fleet.configuration.current
         return known is not None and any(
             other.kind is not RouteKind.BATCH
             and other.priority < route.priority
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -189,7 +189,7 @@
 
     def state(self) -> dict[str, object]:
         """Dump what this process believes."""
-        known = self.fleet.configuration.known
+        known = self.fleet.configuration.current
         return {
             'node': self.settings.node,
             'leaving': self.leaving,
@@ -236,7 +236,7 @@
         responder.answer(HTTPStatus.OK, _JSON if whole else (), told)
 
     def _pass_configuration_on(self, responder: Responder) -> None:
-        known = self.fleet.configuration.known
+        known = self.fleet.configuration.current
         if known is None:
             responder.answer(HTTPStatus.NOT_FOUND)
         else:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/authentication.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/authentication.py
@@ -39,13 +39,13 @@
         Only the newest configuration can show that a key is unknown: an older
         one lacks keys that were added since.
         """
-        if not self._configuration.asks_for_keys:
+        if not self._configuration.requires_key:
             return Admitted(None)
         if key is None and public:
             return Admitted(None)
         if key is None:
             return Rejected('no key', HTTPStatus.UNAUTHORIZED)
-        team = self._configuration.team_of(key)
+        team = self._configuration.team_by_key(key)
         if team is not None:
             return Admitted(team)
         if is_newest:
--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -54,7 +54,7 @@
         self.entry.serve()
         eventually(
             lambda: (
-                self.entry.fleet.configuration.known
+                self.entry.fleet.configuration.current
                 and len(self.entry.fleet.engines.all()) == len(answers) + others
             )
         )
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -67,7 +67,7 @@
         node.serve()
         eventually(
             lambda: (
-                node.fleet.configuration.known
+                node.fleet.configuration.current
                 and len(node.fleet.engines.all()) == len(self.engines)
             )
         )
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -440,7 +440,7 @@
         owner = self.owner()
         eventually(lambda: len(owner._keeper.owned) == 4)
         eventually(lambda: len(owner.fleet.engines.all()) == 2)
-        listed = owner.fleet.engines.named(EngineId('i-1'))
+        listed = owner.fleet.engines.find(EngineId('i-1'))
         for _failure in range(2):
             owner.fleet.shared_health.record_failure(
                 listed, FailureKind.ERROR, None
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -60,7 +60,7 @@
     def __init__(self, *engines: Engine) -> None:
         self._engines = {engine.engine: engine for engine in engines}
 
-    def named(self, name: EngineId) -> Engine | None:
+    def find(self, name: EngineId) -> Engine | None:
         return self._engines.get(name)
 
     def all(self) -> list[Engine]:
@@ -347,7 +347,7 @@
     def setUp(self):
         super().setUp()
         self.start(route('streaming'), answers=[b''])
-        self.engine = self.entry.fleet.engines.named(EngineId('i-0'))
+        self.engine = self.entry.fleet.engines.find(EngineId('i-0'))
 
     def _receive(self, gap: float) -> None:
         pace = ToldPace(
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -46,10 +46,10 @@
         self.store.set(
             'config', 'main', configuration(3, route('safe', path_prefix='/y/'))
         )
-        eventually(lambda: self.entry.fleet.configuration.known.version == 3)
+        eventually(lambda: self.entry.fleet.configuration.current.version == 3)
         self.store.set('config', 'main', configuration(2, route('safe')))
         gevent.sleep(0.1)
-        self.assertEqual(3, self.entry.fleet.configuration.known.version)
+        self.assertEqual(3, self.entry.fleet.configuration.current.version)
         head, _body = self.read(self.ask('/x/1'))
         self.assertEqual(404, head.status)
 
@@ -57,7 +57,7 @@
         self.start(route('safe'), answers=[_PLAIN])
         self.store.set('config', 'main', configuration(3, route('safe')))
         self.store.forget_history()
-        eventually(lambda: self.entry.fleet.configuration.known.version == 3)
+        eventually(lambda: self.entry.fleet.configuration.current.version == 3)
 
     def test_draining_engine_gets_no_requests(self):
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
@@ -180,7 +180,7 @@
                     )
                 )
             gevent.sleep(0.05)
-        self.assertEqual(3 if reported else 2, holder.known.version)
+        self.assertEqual(3 if reported else 2, holder.current.version)
 
     @parameterized.expand(
         [
@@ -204,7 +204,7 @@
         )
         self.entry.fleet.notice(reported)
         gevent.sleep(0.3)
-        self.assertEqual(version, holder.known.version)
+        self.assertEqual(version, holder.current.version)
 
     def test_not_ready_before_the_first_configuration(self):
         made = settings('entry-1', NodeRole.ENTRY, self.store.address)
@@ -224,7 +224,7 @@
         self.store.trouble = Trouble.SILENT
         self.store.set('config', 'main', configuration(2, route('safe')))
         holder = self.entry.fleet.configuration
-        eventually(lambda: holder.known.version == 2)
+        eventually(lambda: holder.current.version == 2)
         return holder
 
     def _ready(self):
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -97,7 +97,7 @@
         began = time.monotonic()
         service.set('config', 'main', configuration(2, route('batch')))
         holder = entry.fleet.configuration
-        eventually(lambda: holder.known.version == 2, 12)
+        eventually(lambda: holder.current.version == 2, 12)
         seconds = time.monotonic() - began
         self.assertLess(seconds, _MAX_UPDATE_SECONDS)
 
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -161,7 +161,7 @@
         entries = [self.entry(name) for name in ('entry-1', 'entry-2')]
         for entry in entries:
             eventually(lambda node=entry: node.peers.claims.owner(node_shard()))
-            eventually(lambda node=entry: node.fleet.configuration.known)
+            eventually(lambda node=entry: node.fleet.configuration.current)
         eventually(lambda: entries[0].peers.claims.relay_to_owner(node_shard()))
         for entry in entries[: 1 if known else 2]:
             entry.peers.claims.owner = lambda _shard: None
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -139,7 +139,7 @@
         self.status(('X-Credential', _KEY))
         self.status(('X-Credential', 'nobody-at-all'))
         dumped = json.dumps(self.entry.state(), default=str)
-        known = repr(self.entry.fleet.configuration.known)
+        known = repr(self.entry.fleet.configuration.current)
         for key in (_KEY, _OTHER_KEY, 'nobody-at-all'):
             self.assertNotIn(key, dumped + known)
 
