--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -104,25 +104,25 @@
     def revisions(self) -> dict[str, int]:
         """Return the latest revision seen below each prefix."""
         return {
-            watch.prefix: watch.newest
+            watch.prefix: watch.latest_revision
             for watch in self._watches()
-            if watch.newest
+            if watch.latest_revision
         }
 
-    def notice(self, report: NodeReport) -> None:
+    def receive(self, report: NodeReport) -> None:
         """Apply what a peer reports on engines and the object service."""
         self.pace.add_peer_run(report.run_ms / _MS)
         self.shared_health.receive(report.evidence)
         self._refusals.receive(NodeName(report.node), report.refused)
         for watch in self._watches():
-            watch.notice(report.revisions.get(watch.prefix, 0))
+            watch.on_peer_revision(report.revisions.get(watch.prefix, 0))
         if 0 <= report.answered_ms < report.failed_ms:
-            self.doubt_watches(clock.uptime() - report.failed_ms / _MS)
+            self.restart_watches(clock.uptime() - report.failed_ms / _MS)
 
-    def doubt_watches(self, failed_at: float) -> None:
+    def restart_watches(self, failed_at: float) -> None:
         """Restart the watch calls that began before a failure."""
         for watch in self._all_watches:
-            watch.doubt(failed_at)
+            watch.restart_if_older(failed_at)
 
     def start(self) -> None:
         """Start following the object service."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/watcher.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/watcher.py
@@ -68,7 +68,7 @@
         self._follower = follower
         self._log = log
         self._as_of = Version(0)
-        self._newest = 0
+        self._latest_revision = 0
         self._peer_revision = 0
         self._peer_revision_at = 0.0
         self._call: gevent.Greenlet | None = None
@@ -84,16 +84,16 @@
         return self._current
 
     @property
-    def holding(self) -> bool:
+    def is_waiting(self) -> bool:
         """Return whether a call is waiting for changes."""
         return self._call is not None
 
     @property
-    def newest(self) -> int:
+    def latest_revision(self) -> int:
         """Return the latest revision seen below the prefix."""
-        return self._newest
+        return self._latest_revision
 
-    def notice(self, revision: int) -> None:
+    def on_peer_revision(self, revision: int) -> None:
         """Restart the call if it is behind a revision that a peer has seen."""
         now = clock.uptime()
         if revision <= self._as_of or revision < self._peer_revision:
@@ -107,7 +107,7 @@
         ):
             self._restart_call('watch-behind', seen_by_peer=revision)
 
-    def doubt(self, failed_at: float) -> None:
+    def restart_if_older(self, failed_at: float) -> None:
         """Restart the call if it began before a failure that is over.
 
         Its connection may be dead although it is still open.
@@ -140,7 +140,7 @@
         outage = clock.uptime() - self._lost_at if self._lost_at else 0
         self._follower.reset(listing.entries, outage > _OUTAGE_SECONDS)
         self._as_of = listing.as_of
-        self._update_newest([int(entry.version) for entry in listing.entries])
+        self._update_revision([int(entry.version) for entry in listing.entries])
         self._on_listed(len(listing.entries), outage)
 
     def _on_listed(self, count: int, outage: float) -> None:
@@ -171,7 +171,7 @@
         changes = followed.ok_value.changes
         for change in changes:
             self._follower.change(change)
-        self._update_newest([int(change.version) for change in changes])
+        self._update_revision([int(change.version) for change in changes])
         self._as_of = max(self._as_of, followed.ok_value.as_of)
         if changes:
             gevent.sleep(self._gather)
@@ -182,8 +182,8 @@
             self._call.kill(block=False)
             self._call = None
 
-    def _update_newest(self, revisions: Sequence[int]) -> None:
-        self._newest = max([self._newest, *revisions])
+    def _update_revision(self, revisions: Sequence[int]) -> None:
+        self._latest_revision = max([self._latest_revision, *revisions])
 
     def _fail(self, failure: Failure) -> None:
         self._current = False
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -152,7 +152,7 @@
 
     def hear_report(self, report: NodeReport) -> None:
         """Take what a peer said."""
-        self.fleet.notice(report)
+        self.fleet.receive(report)
         self._paces.receive(report)
         record = self.peers.record_of(NodeName(report.node))
         if record is not None:
@@ -250,13 +250,13 @@
             self._reload(asked=False)
             self.fleet.pool.close_expired()
             if self.store.contact.returned:
-                self.fleet.doubt_watches(self.store.contact.failed_at)
+                self.fleet.restart_watches(self.store.contact.failed_at)
 
     def _wake_up(self, slept: float) -> None:
         """Trust no call to the object service held since before a sleep."""
         if slept:
             self.log.event('machine-suspended', seconds=round(slept, 3))
-            self.fleet.doubt_watches(clock.uptime())
+            self.fleet.restart_watches(clock.uptime())
 
     def _on_term(self) -> None:
         if self._told_to_stop:
--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -61,7 +61,7 @@
 
     def hold(self):
         """Wait until the watch of the configuration is held by the store."""
-        eventually(lambda: self.entry.fleet.config_watch.holding)
+        eventually(lambda: self.entry.fleet.config_watch.is_waiting)
         gevent.sleep(0.1)
 
     def ask(self, path='/x/1', patience=2000, extra=()):
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -307,7 +307,7 @@
 
     def report(self, refused):
         """Receive an entry's report of its refusals so far."""
-        self.node.fleet.notice(
+        self.node.fleet.receive(
             NodeReport(
                 node=_NODE, sound=True, leaving=False, refused={'s1': refused}
             )
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -171,7 +171,7 @@
         revision = self.store.set('config', 'main', made)
         for _report in range(20):
             if reported:
-                self.entry.fleet.notice(
+                self.entry.fleet.receive(
                     NodeReport(
                         node='entry-2',
                         sound=True,
@@ -202,7 +202,7 @@
             failed_ms=failed,
             answered_ms=answered,
         )
-        self.entry.fleet.notice(reported)
+        self.entry.fleet.receive(reported)
         gevent.sleep(0.3)
         self.assertEqual(version, holder.current.version)
 
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -90,7 +90,7 @@
         entry = EntryNode(made, PlatformStore(link.address), PlatformDialect())
         entry.serve()
         gevent.spawn(entry._sweep)
-        eventually(lambda: entry.fleet.config_watch.holding)
+        eventually(lambda: entry.fleet.config_watch.is_waiting)
         eventually(lambda: entry.peers.claims.available_owners(), 5)
         gevent.sleep(1 + rest)
         link.silence()
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -108,7 +108,7 @@
     def test_watch_calls_are_restarted(self):
         self.configure()
         node = self.holding()
-        eventually(lambda: node.fleet.config_watch.holding)
+        eventually(lambda: node.fleet.config_watch.is_waiting)
         gevent.spawn(node._sweep)
         gevent.sleep(0.1)
         with suspended():
