--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -28,7 +28,10 @@
 from bendlead_gateway._fleet.registration import Registration
 from bendlead_gateway._fleet.report_codec import ReportCodec
 from bendlead_gateway._fleet.report_exchanger import ReportExchanger
-from bendlead_gateway._fleet.survey import CUT_SECONDS, Survey
+from bendlead_gateway._fleet.relay_requests import (
+    MAX_SILENCE_SECONDS,
+    RelayRequests,
+)
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
 from bendlead_gateway._suspects.suspects import Suspects
@@ -70,7 +73,7 @@
         self._links = Links()
         self._relay = LoadRelay(own.node, loads, self._links, on_teams)
         self._peers: dict[NodeName, Peer] = {}
-        self._survey = Survey(own.hall, self._peers, loads)
+        self._relay_requests = RelayRequests(own.hall, self._peers, loads)
         self._listed = False
         #: Source and sink of updates on suspects, if they are exchanged.
         self.suspects: Suspects | None = None
@@ -133,7 +136,7 @@
             return EntryGroup(1, _ASSUMED_ENTRIES)
         reporting = 1
         entries = 1
-        oldest = clock.uptime() - CUT_SECONDS
+        oldest = clock.uptime() - MAX_SILENCE_SECONDS
         for node, peer in self._peers.items():
             if peer.record.role is not NodeRole.ENTRY:
                 continue
@@ -235,7 +238,7 @@
                 peer.suspects_sent, report.suspects = (
                     self.suspects.updates_after(peer.suspects_sent)
                 )
-            report.missed = self._survey.missed_by(peer.record.node)
+            report.missed = self._relay_requests.missing_for(peer.record.node)
             shared = self.shared_health
             if shared and peer.link is Link.CLOSE:
                 peer.evidence_sent, updates = shared.updates_after(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
@@ -20,7 +20,7 @@
         self._loads = loads
         self._peers = peers
 
-    def triers(self) -> list[TrialNode]:
+    def trial_nodes(self) -> list[TrialNode]:
         """List the processes with requests or items to use for trials.
 
         This process is always in the list; an owner counts as one with items.
@@ -35,7 +35,7 @@
                     found.append(TrialNode(node, items))
         return found
 
-    def reaching_store(self) -> list[PeerRecord]:
+    def with_store_access(self) -> list[PeerRecord]:
         """List live peers that the object service answers.
 
         Peers in other data halls are listed only if there is none in this
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/survey.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/relay_requests.py
@@ -16,7 +16,7 @@
 from bendlead_gateway.types import DataHall, NodeName
 
 #: How long reports of a peer that sends none are requested from others.
-CUT_SECONDS = 60.0
+MAX_SILENCE_SECONDS = 60.0
 _PEERS_TO_ASK = 2
 #: After this time other peers are chosen.
 _REFRESH_SECONDS = 0.25
@@ -34,7 +34,7 @@
     asked: Collection[NodeName] = ()
 
 
-class Survey:
+class RelayRequests:
     """Choose at intervals which peers are asked for which nodes."""
 
     def __init__(
@@ -48,7 +48,7 @@
         self._loads = loads
         self._selection = _Selection()
 
-    def missed_by(self, node: NodeName) -> list[str]:
+    def missing_for(self, node: NodeName) -> list[str]:
         """List the missing nodes whose reports are requested from a peer."""
         now = clock.uptime()
         if now - self._selection.made_at > _REFRESH_SECONDS:
@@ -73,7 +73,7 @@
 
     def _missing_nodes(self, now: float) -> Iterable[str]:
         """Yield the peers that may run requests but send no reports."""
-        oldest = now - CUT_SECONDS
+        oldest = now - MAX_SILENCE_SECONDS
         for node, peer in self._peers.items():
             if peer.link is not Link.CLOSE:
                 if self._is_overdue(peer):
@@ -89,4 +89,4 @@
         if peer.record.hall == self._hall:
             return False
         age = self._loads.age_of(peer.record.node)
-        return age is not None and _OVERDUE_SECONDS < age < CUT_SECONDS
+        return age is not None and _OVERDUE_SECONDS < age < MAX_SILENCE_SECONDS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -93,11 +93,11 @@
             self.hear_teams,
             self.team_levels,
         )
-        self.store.route.peers = self.peers.processes.reaching_store
+        self.store.route.peers = self.peers.processes.with_store_access
         self.peers.suspects = self.fleet.suspects
         self.peers.shared_health = self.fleet.shared_health
         self.fleet.shared_health.configure_peers(
-            self.peers.processes.triers, self.peers.processes.halls
+            self.peers.processes.trial_nodes, self.peers.processes.halls
         )
         self.peers_watch = self.fleet.watcher(
             dialect.peers_prefix, self.peers, _GATHER_PEERS_SECONDS
--- a/testing/src/bendlead_testing/report_replay.py
+++ b/testing/src/bendlead_testing/report_replay.py
@@ -16,7 +16,7 @@
 from bendlead_gateway._fleet.links import Link, Links
 from bendlead_gateway._fleet.load_relay import LoadRelay, team_counts
 from bendlead_gateway._fleet.peer import Peer
-from bendlead_gateway._fleet.survey import Survey
+from bendlead_gateway._fleet.relay_requests import RelayRequests
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
 from bendlead_schema.gateway import NodeReport
 from msgspec import Struct, field
@@ -58,7 +58,7 @@
         self.loads = loads.LoadTable()
         self.relay = LoadRelay(record.node, self.loads, links)
         self.peers: dict[NodeName, Peer] = {}
-        self.survey = Survey(record.hall, self.peers, self.loads)
+        self.relay_requests = RelayRequests(record.hall, self.peers, self.loads)
         #: Times at which its counts changed.
         self.change_times: list[float] = []
 
@@ -74,7 +74,7 @@
         )
         self.relay.set_version(report)
         report.told = self.relay.reports_for(peer)
-        report.missed = self.survey.missed_by(peer.record.node)
+        report.missed = self.relay_requests.missing_for(peer.record.node)
         return report
 
     def receive(self, report: NodeReport) -> None:
