--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_calls.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_calls.py
@@ -23,11 +23,11 @@
 
 def answer_call(store: FollowedStore, body: bytes) -> bytes:
     """Make a call for a peer directly, without failover to another one."""
-    outcome = perform(store, _CALL_DECODER.decode(body))
-    return msgspec.json.encode(write_outcome(outcome))
+    outcome = make_call(store, _CALL_DECODER.decode(body))
+    return msgspec.json.encode(encode_outcome(outcome))
 
 
-def perform(store: FollowedStore, call: StoreCall) -> Outcome:
+def make_call(store: FollowedStore, call: StoreCall) -> Outcome:
     """Make a call of the object service.
 
     Raises ValueError if the body is not valid base64.
@@ -43,7 +43,7 @@
     return store.put(call.key, body, expected)
 
 
-def write_outcome(outcome: Outcome) -> StoreAnswer:
+def encode_outcome(outcome: Outcome) -> StoreAnswer:
     """Convert an outcome to a message."""
     if isinstance(outcome, Err):
         failure = outcome.err_value
@@ -59,7 +59,7 @@
     return StoreAnswer(version=int(success or 0))
 
 
-def read_outcome(call: StoreCall, answer: StoreAnswer, peer: str) -> Outcome:
+def decode_outcome(call: StoreCall, answer: StoreAnswer, peer: str) -> Outcome:
     """Convert a peer's message to an outcome.
 
     Raises ValueError if the failure kind or the body is invalid.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_failover.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_failover.py
@@ -29,8 +29,8 @@
 from bendlead_gateway._fleet.store_calls import (
     STORE_PATH,
     Outcome,
-    perform,
-    read_outcome,
+    make_call,
+    decode_outcome,
 )
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import PeerRecord
@@ -50,7 +50,7 @@
 _ANSWER_DECODER = msgspec.json.Decoder(StoreAnswer)
 
 
-class PeerRoute:
+class PeerCaller:
     """Make calls of the object service through peers."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         self.peers: Callable[[], Sequence[PeerRecord]] = tuple
         self._backoff_until = 0.0
 
-    def make(self, call: StoreCall) -> Outcome | None:
+    def call(self, call: StoreCall) -> Outcome | None:
         """Make a call through a peer; None if no peer reaches the service."""
         if clock.uptime() < self._backoff_until:
             return None
@@ -81,10 +81,10 @@
 
     def __init__(self, direct: FollowedStore, log: Log) -> None:
         self.direct = direct
-        self.route = PeerRoute()
+        self.peer_caller = PeerCaller()
         self._log = log
         self._unreachable_since = 0.0
-        self._reached_at = 0.0
+        self._last_success_at = 0.0
         self._probed_at = 0.0
         self._relayed_calls = 0
 
@@ -99,16 +99,16 @@
         return self.direct.contact
 
     @property
-    def reached_at(self) -> float:
+    def last_success_at(self) -> float:
         """Return when a call last succeeded (uptime, s), directly or not."""
-        return self._reached_at
+        return self._last_success_at
 
     @property
-    def by_peer(self) -> bool:
+    def uses_peers(self) -> bool:
         """Return whether calls reach the service through peers only."""
         if not self._unreachable_since:
             return False
-        return clock.uptime() - self._reached_at < _REACHABLE_SECONDS
+        return clock.uptime() - self._last_success_at < _REACHABLE_SECONDS
 
     def fetch(self, key: str) -> Result[Entry | None, Failure]:
         """Read one entry, or None if the key does not exist."""
@@ -169,7 +169,7 @@
                 return relayed
         direct = self._call_directly(call)
         if not _needs_failover(direct):
-            self._reached_at = clock.uptime()
+            self._last_success_at = clock.uptime()
             self._mark_reachable()
             return direct
         unknown = direct.err_value.kind is FailureKind.UNKNOWN
@@ -184,17 +184,17 @@
         return direct if relayed is None else relayed
 
     def _call_via_peer(self, call: StoreCall) -> Outcome | None:
-        outcome = self.route.make(call)
+        outcome = self.peer_caller.call(call)
         if outcome is not None and not _needs_failover(outcome):
-            self._reached_at = clock.uptime()
+            self._last_success_at = clock.uptime()
             self._relayed_calls += 1
         return outcome
 
     def _call_directly(self, call: StoreCall) -> Outcome:
-        if not self.route.peers():
-            return perform(self.direct, call)
+        if not self.peer_caller.peers():
+            return make_call(self.direct, call)
         with gevent.Timeout(_DIRECT_TIMEOUT_SECONDS, exception=False):
-            return perform(self.direct, call)
+            return make_call(self.direct, call)
         self.contact.failed_at = clock.uptime()
         return _failed(FailureKind.UNKNOWN, call, 'object service', 'timed out')
 
@@ -237,7 +237,7 @@
             msgspec.json.encode(call),
             _PEER_TIMEOUT_SECONDS,
         )
-        return read_outcome(call, _ANSWER_DECODER.decode(body), peer.node)
+        return decode_outcome(call, _ANSWER_DECODER.decode(body), peer.node)
     except NotConnectedError as error:
         return _failed(FailureKind.NOT_DONE, call, peer.node, error)
     except (OSError, ValueError, msgspec.MsgspecError) as error:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -93,7 +93,7 @@
             self.hear_teams,
             self.team_levels,
         )
-        self.store.route.peers = self.peers.processes.with_store_access
+        self.store.peer_caller.peers = self.peers.processes.with_store_access
         self.peers.suspects = self.fleet.suspects
         self.peers.shared_health = self.fleet.shared_health
         self.fleet.shared_health.configure_peers(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -119,14 +119,14 @@
         A held watch may live on while new calls are turned away.
         """
         stuck = any(one.stuck for one in self._keeper.owned.values())
-        reached = self.peers_watch.current or self.store.by_peer
+        reached = self.peers_watch.current or self.store.uses_peers
         return reached and not stuck
 
     def _ask_store(self) -> None:
         """Notice outages for all: held watches stay open and say nothing."""
         while True:
             gevent.sleep(_ASK_SECONDS / 2)
-            rested = clock.uptime() - self.store.reached_at
+            rested = clock.uptime() - self.store.last_success_at
             if self._keeper.owned and rested > _ASK_SECONDS:
                 shard = next(iter(self._keeper.owned))
                 self.store.fetch(head_key(ShardId(shard)))
--- a/tests/test_gateway_store_failover.py
+++ b/tests/test_gateway_store_failover.py
@@ -73,9 +73,9 @@
     def test_direct_calls_resume(self):
         self.door.trouble = Trouble.AWAY
         self.assertEqual(202, self.submit_job('j1'))
-        self.assertTrue(self.shard_owner.store.by_peer)
+        self.assertTrue(self.shard_owner.store.uses_peers)
         self.door.trouble = Trouble.NONE
-        eventually(lambda: not self.shard_owner.store.by_peer, 4)
+        eventually(lambda: not self.shard_owner.store.uses_peers, 4)
 
     def test_outage_for_all(self):
         """Jobs are not accepted until the service is back."""
@@ -89,7 +89,7 @@
         """The write may have taken effect, so it must not count as failed."""
         store = FailoverStore(self.other.store.direct, self.other.log)
         store.direct = PlatformStore(self.door.address)
-        store.route.peers = lambda: [self.other.record]
+        store.peer_caller.peers = lambda: [self.other.record]
         self.door.trouble = Trouble.AWAY
         self.store.trouble = Trouble.LOST_ANSWERS
         written = store.put('ledger/x', b'{}', ABSENT)
