--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -26,12 +26,12 @@
 from bendlead_gateway._fleet.probe import refuses_connections
 from bendlead_gateway._fleet.processes import Processes
 from bendlead_gateway._fleet.registration import Registration
-from bendlead_gateway._fleet.report_codec import ReportCodec
-from bendlead_gateway._fleet.report_exchanger import ReportExchanger
 from bendlead_gateway._fleet.relay_requests import (
     MAX_SILENCE_SECONDS,
     RelayRequests,
 )
+from bendlead_gateway._fleet.report_codec import ReportCodec
+from bendlead_gateway._fleet.report_exchanger import ReportExchanger
 from bendlead_gateway._health.shared import SharedHealth
 from bendlead_gateway._log import Log
 from bendlead_gateway._suspects.suspects import Suspects
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_failover.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_failover.py
@@ -29,8 +29,8 @@
 from bendlead_gateway._fleet.store_calls import (
     STORE_PATH,
     Outcome,
-    make_call,
     decode_outcome,
+    make_call,
 )
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import PeerRecord
