--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
@@ -98,28 +98,28 @@
         if not change.deleted:
             self._apply_entry(Entry(change.key, change.version, change.body))
 
-    def activate(self, found: Configuration, source: str) -> None:
+    def activate(self, configuration: Configuration, source: str) -> None:
         """Activate a configuration unless the active one is as new."""
-        if self.current and found.version <= self.version:
+        if self.current and configuration.version <= self.version:
             self._log.event(
                 'config-older',
-                version=found.version,
+                version=configuration.version,
                 in_force=self.version,
                 source=source,
             )
             return
         self._active = _ActiveConfiguration(
-            found,
-            _routes_by_host(found.routes),
-            _teams_by_key(found.teams),
-            {team.name: team for team in found.teams},
+            configuration,
+            _routes_by_host(configuration.routes),
+            _teams_by_key(configuration.teams),
+            {team.name: team for team in configuration.teams},
         )
         self._log.event(
             'config-in-force',
-            version=found.version,
+            version=configuration.version,
             source=source,
-            routes=len(found.routes),
-            teams=len(found.teams),
+            routes=len(configuration.routes),
+            teams=len(configuration.teams),
         )
 
     def match(self, host: str, path: str) -> Route | None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
@@ -26,14 +26,14 @@
         This process is always in the list; an owner counts as one with items.
         """
         owner = self._own.role is NodeRole.OWNER
-        found = [TrialNode(self._own.node, items=owner)]
+        nodes = [TrialNode(self._own.node, items=owner)]
         for node, peer in self._peers.items():
             known = self._loads.latest(node)
             if known is not None:
                 items = any(known.batch.values())
                 if items or peer.record.role is NodeRole.ENTRY:
-                    found.append(TrialNode(node, items))
-        return found
+                    nodes.append(TrialNode(node, items))
+        return nodes
 
     def with_store_access(self) -> list[PeerRecord]:
         """List live peers that the object service answers.
@@ -41,13 +41,13 @@
         Peers in other data halls are listed only if there is none in this
         hall, to save traffic between halls.
         """
-        found = [
+        records = [
             peer.record
             for peer in self._peers.values()
             if not peer.is_down and _reaches_store(peer.report)
         ]
-        local = [record for record in found if record.hall == self._own.hall]
-        return local or found
+        local = [record for record in records if record.hall == self._own.hall]
+        return local or records
 
     def halls(self) -> dict[NodeName, DataHall]:
         """Return the data hall of each known process."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/registration.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/registration.py
@@ -54,5 +54,5 @@
             gevent.sleep(pause * (1 + random.random()))
             pause = min(_MAX_PAUSE_SECONDS, pause * 2)
             if written.err_value.kind not in _NOT_WRITTEN:
-                found = self._store.fetch(self.key)
-                present = found.unwrap_or(present)
+                fetched = self._store.fetch(self.key)
+                present = fetched.unwrap_or(present)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/watcher.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/watcher.py
@@ -28,7 +28,7 @@
 _MAX_PAUSE_SECONDS = 0.4
 #: If a peer has seen a change for this long and this process has not, the
 #: connection of the waiting call is dead.
-_BEHIND_SECONDS = 0.6
+_MAX_LAG_SECONDS = 0.6
 #: Minimum time between two restarts after failures that peers report: each
 #: process may have outages of its own.
 _MIN_RESTART_INTERVAL_SECONDS = 3.0
@@ -102,7 +102,7 @@
             self._peer_revision = revision
             self._peer_revision_at = now
         if (
-            now - self._peer_revision_at > _BEHIND_SECONDS
+            now - self._peer_revision_at > _MAX_LAG_SECONDS
             and self._call is not None
         ):
             self._restart_call('watch-behind', seen_by_peer=revision)
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -86,8 +86,10 @@
         self.configure()
         service, self.store.address = self.store, link.address
         self.owner()
-        made = settings('entry-1', NodeRole.ENTRY, link.address)
-        entry = EntryNode(made, PlatformStore(link.address), PlatformDialect())
+        entry_settings = settings('entry-1', NodeRole.ENTRY, link.address)
+        entry = EntryNode(
+            entry_settings, PlatformStore(link.address), PlatformDialect()
+        )
         entry.serve()
         gevent.spawn(entry._sweep)
         eventually(lambda: entry.fleet.config_watch.is_waiting)
@@ -96,8 +98,8 @@
         link.silence()
         began = time.monotonic()
         service.set('config', 'main', configuration(2, route('batch')))
-        holder = entry.fleet.configuration
-        eventually(lambda: holder.current.version == 2, 12)
+        known = entry.fleet.configuration
+        eventually(lambda: known.current.version == 2, 12)
         seconds = time.monotonic() - began
         self.assertLess(seconds, _MAX_UPDATE_SECONDS)
 
--- a/tests/test_gateway_store_failover.py
+++ b/tests/test_gateway_store_failover.py
@@ -36,8 +36,10 @@
 
     def start_owner(self, name, address):
         """Start an owner that reaches the object service at an address."""
-        made = settings(name, NodeRole.OWNER, address)
-        node = OwnerNode(made, PlatformStore(address), PlatformDialect())
+        node_settings = settings(name, NodeRole.OWNER, address)
+        node = OwnerNode(
+            node_settings, PlatformStore(address), PlatformDialect()
+        )
         node.serve()
         return node
 
@@ -97,8 +99,8 @@
 
     def test_unreadable_call_of_a_peer(self):
         for body in (b'{', b'{"operation":"put","key":"a/b","body":"!"}'):
-            found = self.call(self.other, 'POST', '/peer/store', body)
-            self.assertEqual(400, found.head.status)
+            response = self.call(self.other, 'POST', '/peer/store', body)
+            self.assertEqual(400, response.head.status)
 
     def test_conflict_is_reported_through_a_peer(self):
         store = self.shard_owner.store
