--- a/packages/bendlead-gateway/src/bendlead_gateway/settings_table.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/settings_table.py
@@ -1,38 +1,38 @@
-"""Read the tables of a settings file, with errors that say what is wrong."""
+"""Validated access to the tables of a settings file."""
 
 from collections.abc import Mapping
 from typing import Any
 
 
 class SettingsError(Exception):
-    """The settings file lacks something or holds the wrong kind of it."""
+    """A field of the settings file is missing or has the wrong type."""
 
 
 class SettingsTable:
-    """Read fields of one table and name the table when one is missing."""
+    """Reads fields of one table; errors name the file, table and field."""
 
     def __init__(self, path: str, name: str, fields: Mapping[str, Any]) -> None:
         self._where = f'{path}, table [{name}]' if name else path
         self._fields = fields
 
     def text(self, name: str) -> str:
-        """Read a text that must be there."""
-        found = self._fields.get(name)
-        if not isinstance(found, str):
-            raise SettingsError(f'{self._where}: {name} must be a text')
-        return found
+        """Return a required string; raise SettingsError."""
+        field = self._fields.get(name)
+        if not isinstance(field, str):
+            raise SettingsError(f'{self._where}: {name} must be a string')
+        return field
 
     def number(self, name: str) -> float:
-        """Read a number that must be there."""
-        found = self._fields.get(name)
-        if isinstance(found, bool) or not isinstance(found, int | float):
+        """Return a required number; raise SettingsError."""
+        field = self._fields.get(name)
+        if isinstance(field, bool) or not isinstance(field, int | float):
             raise SettingsError(f'{self._where}: {name} must be a number')
-        return found
+        return field
 
     def optional_number(self, name: str, default: float) -> float:
-        """Read a number that may be missing."""
+        """Return a number, or the default if it is missing."""
         return self.number(name) if name in self._fields else default
 
     def optional_text(self, name: str) -> str | None:
-        """Read a text that may be missing."""
+        """Return a string, or None if it is missing."""
         return self.text(name) if name in self._fields else None
--- a/tests/test_platform_messages.py
+++ b/tests/test_platform_messages.py
@@ -319,7 +319,7 @@
 
     @parameterized.expand(
         [
-            ('no_node', 'node = "frontend-1"', '', 'node must be a text'),
+            ('no_node', 'node = "frontend-1"', '', 'node must be a string'),
             (
                 'no_role',
                 '["frontend","control"]',
