--- a/packages/bendlead-gateway/src/bendlead_gateway/__init__.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Requests straight to engines, and batch jobs in the places they leave."""
+"""Serving gateway: online requests and batch jobs on one fleet of engines."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -1,4 +1,4 @@
-"""The entry: clients' requests to engines, calls about jobs to owners."""
+"""Entry role: routes client requests to engines and job calls to owners."""
 
 import socket
 from http import HTTPStatus
@@ -33,28 +33,26 @@
     RouteKind,
 )
 
-#: Descriptors kept for the store, engines and files, and the most of all that
-#: may be kept where there are few.
+#: Descriptors reserved for the object service, engines and files, limited to
+#: a share of the process's descriptors.
 _RESERVED_DESCRIPTORS = 1200
-_RESERVED_SHARE = 0.5
-_CHECK_SECONDS = 0.05
-#: The last answers are written for this long (s) before the process ends.
-_LAST_WORDS_SECONDS = 0.1
-#: The configuration and the engines are known some 10 ms after the start.
-#: Clients that connected before wait for them, no longer than this (s): then
-#: the object service is away, and they are told to come back.
-_UNKNOWN_SECONDS = 0.3
-_LOOK_SECONDS = 0.005
-#: Part of the memory that bodies of requests may take. Each is copied when it
-#: is put together and again when it is sent.
-_BODIES_SHARE = 0.25
-#: Seconds between two looks at what this entry has left.
-_STRAIN_SECONDS = 0.1
-_RETRY_AFTER = (('Retry-After', '0.2'),)
+_MAX_RESERVED_SHARE = 0.5
+_SHUTDOWN_POLL_SECONDS = 0.05
+#: Time to flush the last responses before the process exits.
+_FLUSH_SECONDS = 0.1
+#: Accepting clients is delayed until the configuration and the engines are
+#: loaded, but no longer than this, in case the object service is unavailable.
+_STARTUP_WAIT_SECONDS = 0.3
+_STARTUP_POLL_SECONDS = 0.005
+#: Share of the memory for request bodies; each body is copied when it is
+#: assembled and again when it is sent.
+_BODIES_MEMORY_SHARE = 0.25
+_OVERLOAD_CHECK_SECONDS = 0.1
+_RETRY_AFTER_HEADERS = (('Retry-After', '0.2'),)
 
 
 class EntryNode(Node):
-    """Take clients' connections."""
+    """Accepts client connections and forwards their requests."""
 
     def __init__(
         self,
@@ -63,7 +61,7 @@
         dialect: Dialect,
         clients: socket.socket | None = None,
     ) -> None:
-        """Take clients on a socket that listens already, or open one."""
+        """Accept clients on ``clients`` or, without it, open a listener."""
         super().__init__(settings, store, dialect)
         team_named = self.fleet.configuration.team_named
         self.shares = TeamShares(team_named)
@@ -98,18 +96,18 @@
             self._answer_client,
             lambda: self.fleet.configuration.limits,
             clock.uptime,
-            _most_clients(settings.descriptors),
+            _max_client_connections(settings.descriptors),
         )
         self._clients.on_accept_error = lambda reason: self.log.event(
             'client-not-taken', reason=reason
         )
         self._clients.body_budget.max_bytes = int(
-            settings.memory * _BODIES_SHARE
+            settings.memory * _BODIES_MEMORY_SHARE
         )
-        self._strain = OverloadDetector()
-        self._turns_away = False
+        self._overload = OverloadDetector()
+        self._sheds_connections = False
         self._stop: StopSchedule | None = None
-        self._ready = HttpServer(
+        self._readiness = HttpServer(
             settings.ready_address or '',
             self._answer_ready,
             lambda: self.fleet.configuration.limits,
@@ -117,47 +115,52 @@
         )
 
     def start(self) -> None:
-        """Take clients."""
-        self._ready.start()
-        gevent.spawn(self._take_clients)
-        gevent.spawn(self._watch_strain)
+        """Start the servers for clients and readiness checks."""
+        self._readiness.start()
+        gevent.spawn(self._accept_clients)
+        gevent.spawn(self._monitor_overload)
 
     def report(self) -> NodeReport:
-        """Tell peers what runs and what was let through here."""
+        """Return the report to peers, with the requests admitted per team."""
         counts = self.limits.counts
         return replace(
             super().report(),
             life=counts.life,
             teams=dict(counts.counts),
             asks_levels=self.limits.needs_levels,
-            strained=self._strain.strained,
+            strained=self._overload.strained,
         )
 
     def state(self) -> dict[str, object]:
-        """Dump what this process believes, also of teams."""
-        return {**super().state(), 'teams': self._usage_of_teams()}
+        """Return the state dump, with the usage of teams."""
+        return {**super().state(), 'teams': self._team_usage()}
 
     def hear_report(self, report: NodeReport) -> None:
-        """Take what a peer said, levels that were asked for too."""
+        """Handle a report of a peer, with any team levels it carries."""
         super().hear_report(report)
         self.limits.adopt_levels(report.levels)
 
     def hear_teams(
-        self, node: NodeName, told: TeamCounts, version: int, heard: float
+        self,
+        node: NodeName,
+        counts: TeamCounts,
+        version: int,
+        reported_at: float,
     ) -> None:
-        """Count what another entry let through."""
-        if told.life:
-            self.limits.receive(node, told, version, heard)
+        """Count the requests that another entry admitted."""
+        if counts.life:
+            self.limits.receive(node, counts, version, reported_at)
 
     def team_levels(self) -> dict[str, float]:
-        """Give the requests of each team that still count."""
+        """Return the current level of each team's rate limit, in requests."""
         return dict(self.limits.levels())
 
     def leave(self) -> None:
-        """Take clients until the platform has taken this node out, then end.
+        """Shut down gracefully and set ``done``.
 
-        New work ends for all connections at one moment: what a kept or slow
-        one brings later could not be finished either.
+        Serves clients until the platform has removed this node from service,
+        then rejects new requests on all connections, kept-alive ones
+        included, and waits for the running ones until the deadline.
         """
         stop = StopSchedule.begin(self.settings.grace)
         self._stop = stop
@@ -169,60 +172,60 @@
             self._clients.close_idle()
             if not self._clients.busy:
                 break
-            gevent.sleep(_CHECK_SECONDS)
+            gevent.sleep(_SHUTDOWN_POLL_SECONDS)
         cut = self._clients.busy
         if cut:
             self._clients.abort_requests()
-            gevent.sleep(_LAST_WORDS_SECONDS)
+            gevent.sleep(_FLUSH_SECONDS)
         self.log.event('left', cut=cut)
         self.done.set()
 
     def answer_peer_call(self, request: Request, responder: Responder) -> None:
-        """Pass a call about jobs on for an entry that does not hear owners."""
+        """Forward a job call for an entry that cannot reach the owners."""
         self._relay.forward(request, responder)
 
-    def _usage_of_teams(self) -> dict[str, dict[str, float]]:
-        """Show what teams use of their limits and shares, and who waits."""
-        found = {name: dict(one) for name, one in self.limits.usage().items()}
+    def _team_usage(self) -> dict[str, dict[str, float]]:
+        """Return usage of limits and shares and queued requests by team."""
+        teams = {name: dict(used) for name, used in self.limits.usage().items()}
         unlimited = {'rate': 0.0, 'burst': 0.0, 'level': 0.0, 'passed_here': 0}
         waiting = self.room.waiting
-        for name, had in self.shares.summary().items():
-            one = found.setdefault(name, dict(unlimited))
-            one.update(had)
-        for name, one in found.items():
-            one['waiting'] = waiting.get(name, 0)
-            one['no_place'] = self.metrics.load.no_place[name]
-        return found
+        for name, shares in self.shares.summary().items():
+            team = teams.setdefault(name, dict(unlimited))
+            team.update(shares)
+        for name, team in teams.items():
+            team['waiting'] = waiting.get(name, 0)
+            team['no_place'] = self.metrics.load.no_place[name]
+        return teams
 
-    def _take_clients(self) -> None:
-        """Let clients wait until it is known where their requests go."""
-        with gevent.Timeout(_UNKNOWN_SECONDS, exception=False):
-            while not self._knows_fleet():
-                gevent.sleep(_LOOK_SECONDS)
+    def _accept_clients(self) -> None:
+        """Accept clients once the configuration and engines are loaded."""
+        with gevent.Timeout(_STARTUP_WAIT_SECONDS, exception=False):
+            while not self._is_fleet_known():
+                gevent.sleep(_STARTUP_POLL_SECONDS)
         self._clients.start()
 
-    def _watch_strain(self) -> None:
-        """Send clients to others of the hall while this entry is strained."""
+    def _monitor_overload(self) -> None:
+        """Shed connections to entries of this hall during overload."""
         while True:
-            due = clock.uptime() + _STRAIN_SECONDS
-            gevent.sleep(_STRAIN_SECONDS)
+            due = clock.uptime() + _OVERLOAD_CHECK_SECONDS
+            gevent.sleep(_OVERLOAD_CHECK_SECONDS)
             late = max(0, clock.uptime() - due)
-            room = ResourceUse(
+            usage = ResourceUse(
                 self._clients.body_budget.utilization, self._clients.utilization
             )
-            if self._strain.update(late, room):
+            if self._overload.update(late, usage):
                 self.log.event(
                     'strain',
-                    strained=self._strain.strained,
-                    late=round(self._strain.timer_delay, 3),
-                    memory=round(room.memory, 2),
-                    connections=round(room.connections, 2),
+                    strained=self._overload.strained,
+                    late=round(self._overload.timer_delay, 3),
+                    memory=round(usage.memory, 2),
+                    connections=round(usage.connections, 2),
                 )
-            own = self._strain.strained
+            own = self._overload.strained
             others = self.peers.strained_in_hall() if own else ()
-            self._turns_away = sheds_connections(own=own, others=others)
+            self._sheds_connections = sheds_connections(own=own, others=others)
 
-    def _knows_fleet(self) -> bool:
+    def _is_fleet_known(self) -> bool:
         known = self.fleet.configuration.known is not None
         return (
             known
@@ -241,16 +244,18 @@
         )
 
     def _answer_client(self, request: Request, responder: Responder) -> None:
-        if self.leaving or self._turns_away:
+        if self.leaving or self._sheds_connections:
             responder.close_after()
         if self._stop and self._stop.closed:
-            self._refuse_late(request, responder, self._stop)
+            self._reject_late(request, responder, self._stop)
             return
         call = self.dialect.job_call(
             request.method, request.target, request.headers
         )
         if self.fleet.configuration.known is None:
-            responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
+            responder.answer(
+                HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER_HEADERS
+            )
             return
         if call is not None:
             public = self.fleet.configuration.takes_jobs_of_all(request.host)
@@ -296,22 +301,22 @@
         if team and outcome == REFUSED:
             self.limits.refund(team)
 
-    def _refuse_late(
+    def _reject_late(
         self, request: Request, responder: Responder, stop: StopSchedule
     ) -> None:
-        """Turn away what a connection brings after the last new work."""
+        """Reject a request that arrives after the end of new work."""
         self.log.event(
             'late-request',
             target=request.target,
             served_before=responder.earlier_requests,
             stopping_for=round(stop.age, 3),
         )
-        responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
+        responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER_HEADERS)
 
     def _answer_unrouted(
         self, request: Request, responder: Responder, name: str
     ) -> None:
-        """Say 404 only while the configuration is surely the newest."""
+        """Answer 404, or 503 while the configuration may be outdated."""
         current = self.fleet.config_watch.current
         self.log.event(
             'no-route',
@@ -323,10 +328,14 @@
         if current:
             responder.answer(HTTPStatus.NOT_FOUND)
         else:
-            responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER)
+            responder.answer(
+                HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER_HEADERS
+            )
 
 
-def _most_clients(descriptors: int) -> int:
-    """Give how many connections of clients may be open at once."""
-    reserved = min(_RESERVED_DESCRIPTORS, int(descriptors * _RESERVED_SHARE))
+def _max_client_connections(descriptors: int) -> int:
+    """Return the maximum number of open client connections."""
+    reserved = min(
+        _RESERVED_DESCRIPTORS, int(descriptors * _MAX_RESERVED_SHARE)
+    )
     return descriptors - reserved
--- a/packages/bendlead-gateway/src/bendlead_gateway/_metrics.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_metrics.py
@@ -1,7 +1,7 @@
 """Counters and histograms of one process.
 
-They are plain counts; the client library is loaded when somebody first asks
-for the page, for it takes 10 MB of memory.
+The Prometheus client library is imported on the first scrape only, to save
+memory.
 """
 
 from bisect import bisect_left
@@ -9,19 +9,17 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-#: Upper bounds in seconds; 0.3 and 0.4 are the aims of today's routes.
+#: Upper bounds in seconds.
 _BUCKETS = (0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 1, 2, 5)
 
-
-#: Teams that have a series of their own; each costs whoever stores the metrics,
-#: and there may be thousands of teams.
-_MOST_TEAMS = 50
-#: Stands for all others together.
-_OTHERS = 'others'
+#: Teams with a series of their own, to limit the number of stored series.
+_MAX_TEAM_SERIES = 50
+#: Label of the sum over all other teams.
+_OTHER_TEAMS = 'others'
 
 
 class Histogram:
-    """Count durations by buckets."""
+    """Counts durations in buckets, as Prometheus histograms do."""
 
     def __init__(self, bounds: Sequence[float] = _BUCKETS) -> None:
         self._bounds = bounds
@@ -30,7 +28,7 @@
 
     @property
     def total(self) -> float:
-        """Give the sum of all durations in seconds."""
+        """The sum of all durations in seconds."""
         return self._total
 
     def observe(self, seconds: float) -> None:
@@ -39,66 +37,66 @@
         self._total += seconds
 
     def cumulative(self) -> list[tuple[str, int]]:
-        """Give each bound with the count of durations up to it."""
+        """Return each upper bound with the number of durations up to it."""
         sums: list[tuple[str, int]] = []
         count = 0
         bounds = [*map(str, self._bounds), '+Inf']
-        for bound, here in zip(bounds, self._counts, strict=True):
-            count += here
+        for bound, in_bucket in zip(bounds, self._counts, strict=True):
+            count += in_bucket
             sums.append((bound, count))
         return sums
 
 
 class LoadMetrics:
-    """Count what decisions under load came to."""
+    """Metrics of scheduling, engine health and gossip."""
 
     def __init__(self) -> None:
-        #: Requests refused for want of places, by team.
+        #: Requests rejected because no slot was free, by team.
         self.no_place: Counter[str] = Counter()
-        #: Requests that came back in want of places, by what became of them.
+        #: Retried requests that waited for a slot, by outcome.
         self.held: Counter[str] = Counter()
-        #: Failures that count against engines, by kind.
+        #: Failures recorded against engines, by kind.
         self.engine_evidence: Counter[str] = Counter()
-        #: Requests and items that tried an engine which is left alone.
+        #: Requests and items sent as trials to an ejected engine.
         self.engine_trials = 0
-        #: What was found of the speed of engines, by where it came from.
+        #: Estimates of engine speeds, by source.
         self.pace_findings: Counter[str] = Counter()
-        #: Bytes of reports to peers by kind of link.
+        #: Bytes of reports sent to peers, by kind of link.
         self.told_bytes: Counter[str] = Counter()
-        #: Runs of items that were stopped here, by cause.
+        #: Item runs that this process stopped, by cause.
         self.item_stops: Counter[str] = Counter()
-        #: Times that items began to be held back for refused requests.
+        #: Times that items were held back because requests had been refused.
         self.items_held_back = 0
 
 
 class Metrics:
-    """Count what one process does."""
+    """Metrics of one process, in the form of a Prometheus collector."""
 
     def __init__(self) -> None:
-        #: Client requests by outcome.
+        #: Client requests, by outcome.
         self.requests: Counter[str] = Counter()
-        #: Requests over the limit of their team, by team.
+        #: Requests rejected by the rate limit of their team, by team.
         self.over_limit: Counter[str] = Counter()
-        #: Failed attempts at engines by step.
+        #: Failed attempts at engines, by step.
         self.engine_failures: Counter[str] = Counter()
-        #: Items of batch jobs by what ended a run of theirs.
+        #: Runs of batch items, by how they ended.
         self.items: Counter[str] = Counter()
-        #: Engines that ended while they ran requests of ours.
+        #: Engine crashes during requests of this process.
         self.engine_ends = 0
-        #: Times that a request was kept from engines that end under it.
+        #: Requests not sent to any engine because they are in quarantine.
         self.quarantined = 0
-        #: Log lines that were left out.
+        #: Log lines dropped by the rate limit or a slow reader.
         self.dropped_lines = 0
         #: Calls to the object service.
         self.store_calls = 0
         self.load = LoadMetrics()
-        #: Seconds from a request to the first part of its answer.
+        #: Time from a request to the first part of its response.
         self.first_event = Histogram()
-        #: Seconds from a request to the end of its answer.
+        #: Time from a request to the end of its response.
         self.whole_answer = Histogram()
 
     def page(self) -> bytes:
-        """Show all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry  # noqa: PLC0415
         from prometheus_client.exposition import (  # noqa: PLC0415
             generate_latest,
@@ -109,7 +107,7 @@
         return generate_latest(registry)
 
     def collect(self) -> Iterator[Any]:
-        """Give the metrics to the client library."""
+        """Yield the metric families; called by the client library."""
         from prometheus_client.core import (  # noqa: PLC0415
             CounterMetricFamily,
             HistogramMetricFamily,
@@ -117,8 +115,8 @@
 
         labelled = (
             ('requests', 'outcome', self.requests),
-            ('over_limit', 'team', _busiest(self.over_limit)),
-            ('no_place', 'team', _busiest(self.load.no_place)),
+            ('over_limit', 'team', _top_teams(self.over_limit)),
+            ('no_place', 'team', _top_teams(self.load.no_place)),
             ('held', 'ending', self.load.held),
             ('engine_failures', 'step', self.engine_failures),
             ('engine_evidence', 'kind', self.load.engine_evidence),
@@ -133,10 +131,10 @@
                 f'{name.replace("_", " ").capitalize()} by {label}.',
                 labels=(label,),
             )
-            for one, count in counts.items():
-                family.add_metric((one,), count)
+            for label_value, count in counts.items():
+                family.add_metric((label_value,), count)
             yield family
-        plain = (
+        unlabelled = (
             ('dropped_lines', self.dropped_lines),
             ('engine_ends', self.engine_ends),
             ('engine_trials', self.load.engine_trials),
@@ -144,17 +142,17 @@
             ('quarantined', self.quarantined),
             ('store_calls', self.store_calls),
         )
-        for name, count in plain:
+        for name, count in unlabelled:
             yield CounterMetricFamily(
                 f'bendlead_gateway_{name}',
                 f'{name.replace("_", " ").capitalize()} so far.',
                 count,
             )
-        timed = (
+        histograms = (
             ('first_event', self.first_event),
             ('whole_answer', self.whole_answer),
         )
-        for name, histogram in timed:
+        for name, histogram in histograms:
             yield HistogramMetricFamily(
                 f'bendlead_gateway_{name}_seconds',
                 f'{name.replace("_", " ").capitalize()}, in seconds.',
@@ -163,10 +161,10 @@
             )
 
 
-def _busiest(by_team: Counter[str]) -> Counter[str]:
-    """Keep the teams that count most, and the sum of the others."""
-    kept = Counter(dict(by_team.most_common(_MOST_TEAMS)))
-    others = by_team.total() - kept.total()
+def _top_teams(by_team: Counter[str]) -> Counter[str]:
+    """Return the highest counts, and the sum of the others."""
+    top = Counter(dict(by_team.most_common(_MAX_TEAM_SERIES)))
+    others = by_team.total() - top.total()
     if others:
-        kept[_OTHERS] += others
-    return kept
+        top[_OTHER_TEAMS] += others
+    return top
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -1,4 +1,4 @@
-"""What every process of the gateway has."""
+"""Base of the gateway's processes, entries and owners."""
 
 import signal
 from collections.abc import Callable
@@ -38,7 +38,8 @@
     PeerRecord,
 )
 
-#: Peers send small reports; jobs are bounded by the clients' limit.
+#: Limits for peers, whose reports are small; the size of a job is limited
+#: where clients submit it.
 _PEER_HEADER_BYTES = 65_536
 _PEER_BODY_BYTES = 8_388_608
 _PEER_IDLE_SECONDS = 60
@@ -47,16 +48,16 @@
     body_bytes=_PEER_BODY_BYTES,
     idle_seconds=_PEER_IDLE_SECONDS,
 )
-_SWEEP_SECONDS = 1.0
+_MAINTENANCE_INTERVAL_SECONDS = 1.0
 _MS = 1000
-#: All processes start within moments of one another and list themselves one by
-#: one; nobody needs to know a new peer sooner than after this long (s).
-_GATHER_PEERS_SECONDS = 0.5
+#: Changes of the peer list are applied in groups, because the processes of a
+#: deployment start and register at nearly the same time.
+_PEER_CHANGES_DELAY_SECONDS = 0.5
 _JSON = (('Content-Type', 'application/json'),)
 
 
 class Node:
-    """Hold what entries and owners share, and start its tasks."""
+    """Base class of the roles: settings, fleet state, peers and their tasks."""
 
     def __init__(
         self, settings: NodeSettings, store: FollowedStore, dialect: Dialect
@@ -73,9 +74,11 @@
             self.metrics,
             LocalNode(settings.node, settings.hall),
         )
-        self._paces = PaceUpdates(self.fleet.engines, self.fleet.pace, self.log)
+        self._pace_updates = PaceUpdates(
+            self.fleet.engines, self.fleet.pace, self.log
+        )
         self.leaving = False
-        self._told_to_stop = False
+        self._stop_requested = False
         self._reloader: Reloader | None = None
         self.done = Event()
         address = f'{settings.address}:{settings.internal_port}'
@@ -100,9 +103,9 @@
             self.peers.processes.triers, self.peers.processes.halls
         )
         self.peers_watch = self.fleet.watcher(
-            dialect.peers_prefix, self.peers, _GATHER_PEERS_SECONDS
+            dialect.peers_prefix, self.peers, _PEER_CHANGES_DELAY_SECONDS
         )
-        self._passed_on = PeerConfigurationFetcher(
+        self._configuration_fetcher = PeerConfigurationFetcher(
             self.fleet.configuration, self.fleet.config_watch, self.log
         )
         self._exchanges: dict[str, Callable[[bytes], bytes]] = {
@@ -118,20 +121,20 @@
         )
 
     def run(self, source: SettingsSource) -> None:
-        """Start everything and wait until the process may end."""
+        """Run the process until its shutdown is complete."""
         self._reloader = Reloader(source, self.store, self.log)
         self.log.event(
             'start', role=self.settings.role.value, hall=self.settings.hall
         )
         signal_handler(signal.SIGTERM, self._on_term)
         signal_handler(signal.SIGHUP, self._on_hup)
-        gevent.spawn(self._sweep)
+        gevent.spawn(self._run_maintenance)
         self.serve()
         self.done.wait()
         self.log.event('stop', lines_dropped=self.log.dropped)
 
     def serve(self) -> None:
-        """Follow the store, answer peers, and start what the role adds."""
+        """Watch the object service, serve peers and start the role's tasks."""
         self.fleet.start()
         gevent.spawn(self.peers_watch.run)
         gevent.spawn(self.peers.watch_owners)
@@ -139,36 +142,42 @@
         self.start()
 
     def start(self) -> None:
-        """Start what the role adds."""
+        """Start the tasks of the role."""
         raise NotImplementedError
 
     def leave(self) -> None:
-        """Finish what runs and set done; runs in a task of its own."""
+        """Shut down gracefully, then set ``done``; called in its own task."""
         raise NotImplementedError
 
     def answer_peer_call(self, request: Request, responder: Responder) -> None:
-        """Answer a call of a peer that is not a report."""
+        """Answer a call of a peer that is handled by the role."""
         responder.answer(HTTPStatus.NOT_FOUND)
 
     def hear_report(self, report: NodeReport) -> None:
-        """Take what a peer said."""
+        """Handle a report of a peer."""
         self.fleet.notice(report)
-        self._paces.receive(report)
+        self._pace_updates.receive(report)
         record = self.peers.record_of(NodeName(report.node))
         if record is not None:
-            self._passed_on.on_peer_version(record, report.configuration)
+            self._configuration_fetcher.on_peer_version(
+                record, report.configuration
+            )
 
     def hear_teams(
-        self, node: NodeName, told: TeamCounts, version: int, heard: float
+        self,
+        node: NodeName,
+        counts: TeamCounts,
+        version: int,
+        reported_at: float,
     ) -> None:
-        """Take what a node let through of each team; entries count it."""
+        """Handle the admitted requests per team of a peer; ignored here."""
 
     def team_levels(self) -> dict[str, float]:
-        """Give the requests of each team that still count."""
+        """Return the current level of each team's rate limit, in requests."""
         return {}
 
     def report(self) -> NodeReport:
-        """Tell peers what runs here."""
+        """Return the report that is sent to peers."""
         own = self.fleet.loads.own
         return NodeReport(
             node=self.settings.node,
@@ -179,7 +188,7 @@
             batch={name: count for name, count in own.batch.items() if count},
             run_ms=round(self.fleet.pace.run_seconds * _MS),
             shards=[],
-            paces=self._paces.outgoing(),
+            paces=self._pace_updates.outgoing(),
             revisions=self.fleet.revisions(),
             answered_ms=_age_ms(self.store.contact.answered_at),
             failed_ms=_age_ms(self.store.contact.failed_at),
@@ -188,18 +197,19 @@
         )
 
     def state(self) -> dict[str, object]:
-        """Dump what this process believes."""
+        """Return the state dump of the debug endpoint."""
         known = self.fleet.configuration.known
         return {
             'node': self.settings.node,
             'leaving': self.leaving,
             'configuration': known.version if known else None,
             'engines': {
-                one.engine: one.state.value for one in self.fleet.engines.all()
+                engine.engine: engine.state.value
+                for engine in self.fleet.engines.all()
             },
             'online': dict(self.fleet.loads.own.online),
             'batch': dict(self.fleet.loads.own.batch),
-            'paces': self._paces.summary(),
+            'paces': self._pace_updates.summary(),
             'suspects': self.fleet.suspects.summary(),
             'engine_health': self.fleet.shared_health.summary(),
             'peers': self.peers.summary(),
@@ -210,12 +220,12 @@
         if request.path in self._exchanges:
             self._answer_report(request, responder)
         elif request.path == CONFIGURATION_PATH:
-            self._pass_configuration_on(responder)
+            self._send_configuration(responder)
         elif request.path == '/metrics':
             self.metrics.dropped_lines = self.log.dropped
             self.metrics.store_calls = self.store.calls
             self.metrics.load.told_bytes = self.peers.codec.sent_bytes
-            self.metrics.load.pace_findings = self._paces.counts
+            self.metrics.load.pace_findings = self._pace_updates.counts
             responder.answer(HTTPStatus.OK, (), self.metrics.page())
         elif request.path == '/debug/state':
             responder.answer(
@@ -226,42 +236,42 @@
 
     def _answer_report(self, request: Request, responder: Responder) -> None:
         try:
-            told = self._exchanges[request.path](request.body)
+            response = self._exchanges[request.path](request.body)
         except (msgspec.MsgspecError, ValueError) as error:
             self.log.event('report-unreadable', reason=error)
             responder.answer(HTTPStatus.BAD_REQUEST)
             return
-        # Reports are many and small; their form is known from the path.
-        whole = request.path == REPORT_PATH
-        responder.answer(HTTPStatus.OK, _JSON if whole else (), told)
+        # Only full reports name their type; the path implies that of others.
+        full = request.path == REPORT_PATH
+        responder.answer(HTTPStatus.OK, _JSON if full else (), response)
 
-    def _pass_configuration_on(self, responder: Responder) -> None:
+    def _send_configuration(self, responder: Responder) -> None:
         known = self.fleet.configuration.known
         if known is None:
             responder.answer(HTTPStatus.NOT_FOUND)
         else:
             responder.answer(HTTPStatus.OK, _JSON, msgspec.json.encode(known))
 
-    def _sweep(self) -> None:
+    def _run_maintenance(self) -> None:
         suspension = SuspensionWatch()
         while True:
-            gevent.sleep(_SWEEP_SECONDS)
-            self._wake_up(suspension.look())
+            gevent.sleep(_MAINTENANCE_INTERVAL_SECONDS)
+            self._check_resume(suspension.look())
             self._reload(asked=False)
             self.fleet.pool.close_expired()
             if self.store.contact.returned:
                 self.fleet.doubt_watches(self.store.contact.failed_at)
 
-    def _wake_up(self, slept: float) -> None:
-        """Trust no call to the object service held since before a sleep."""
-        if slept:
-            self.log.event('machine-suspended', seconds=round(slept, 3))
+    def _check_resume(self, suspended: float) -> None:
+        """Re-list watches that were open when the machine was suspended."""
+        if suspended:
+            self.log.event('machine-suspended', seconds=round(suspended, 3))
             self.fleet.doubt_watches(clock.uptime())
 
     def _on_term(self) -> None:
-        if self._told_to_stop:
+        if self._stop_requested:
             return
-        self._told_to_stop = True
+        self._stop_requested = True
         self.leaving = True
         self.log.event('leaving', busy=self.internal.busy)
         gevent.spawn(self.leave)
@@ -275,5 +285,5 @@
 
 
 def _age_ms(at: float) -> int:
-    """Give the milliseconds since a moment, or -1 for one that never was."""
+    """Return the milliseconds since a moment, or -1 if it is 0 (never)."""
     return round((clock.uptime() - at) * _MS) if at else -1
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -1,4 +1,4 @@
-"""The owner: hold batch jobs and run their items."""
+"""Owner role: stores batch jobs and runs their items."""
 
 import gevent
 from bendlead_ledger import ShardId, head_key
@@ -16,23 +16,23 @@
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import NodeSettings
 
-#: How long (s) a leaving owner lets commits and calls finish.
-_LEAVING_SECONDS = 1.5
-_CHECK_SECONDS = 0.05
-_FORGET_SECONDS = 30.0
-#: A holder that has made no call for this long (s) makes one. Configurations
-#: and leaving engines are due within 2 s of the store's being well again.
-_ASK_SECONDS = 1.0
+#: Time for running commits, and then for open calls, to finish on shutdown.
+_DRAIN_SECONDS = 1.5
+_DRAIN_POLL_SECONDS = 0.05
+_EXPIRY_INTERVAL_SECONDS = 30.0
+#: Longest time without a call to the object service while shards are owned,
+#: so that its outages are noticed.
+_PROBE_AFTER_SECONDS = 1.0
 
 
 class OwnerNode(Node):
-    """Hold shards of batch jobs."""
+    """Owns shards of batch jobs and serves calls about them."""
 
     def __init__(
         self, settings: NodeSettings, store: FollowedStore, dialect: Dialect
     ) -> None:
         super().__init__(settings, store, dialect)
-        self._calls = 0
+        self._open_calls = 0
         self._keeper = ShardManager(
             self.store,
             self.record,
@@ -57,7 +57,7 @@
             self.retire,
             self.finish_calls,
         )
-        self._orders_watch = self.fleet.watcher(
+        self._stop_orders_watch = self.fleet.watcher(
             dialect.stops_prefix, retirement
         )
         self._api = JobApi(
@@ -70,70 +70,71 @@
         )
 
     def start(self) -> None:
-        """Hold shards, run items."""
-        gevent.spawn(self._orders_watch.run)
-        gevent.spawn(self._keeper.run, self._sound)
+        """Start to take over shards and run items."""
+        gevent.spawn(self._stop_orders_watch.run)
+        gevent.spawn(self._keeper.run, self._can_write)
         gevent.spawn(self._runner.run)
-        gevent.spawn(self._forget)
-        gevent.spawn(self._ask_store)
+        gevent.spawn(self._remove_expired)
+        gevent.spawn(self._probe_store)
 
     def retire(self) -> None:
-        """Tell peers that this node takes no shard any more."""
+        """Take over no more shards, and report so to peers."""
         self.leaving = True
 
     def report(self) -> NodeReport:
-        """Tell peers what runs and which shards are held here."""
+        """Return the report to peers, with the shards owned here."""
         return replace(
             super().report(),
-            sound=self._sound(),
+            sound=self._can_write(),
             shards=held_shards(self._keeper.epochs()),
         )
 
     def state(self) -> dict[str, object]:
-        """Dump what this process believes."""
+        """Return the state dump, with the items of jobs."""
         return {**super().state(), 'items': self._runner.summary()}
 
     def answer_peer_call(self, request: Request, responder: Responder) -> None:
-        """Answer a call about jobs that an entry relays."""
-        self._calls += 1
+        """Answer a job call that an entry has forwarded."""
+        self._open_calls += 1
         try:
             self._api.answer(request, responder)
         finally:
-            self._calls -= 1
+            self._open_calls -= 1
 
     def leave(self) -> None:
-        """Hand the shards over, let calls finish, end."""
-        self._keeper.leave(_LEAVING_SECONDS)
+        """Hand over the shards, wait for open calls and set ``done``."""
+        self._keeper.leave(_DRAIN_SECONDS)
         self.finish_calls()
         self.done.set()
 
     def finish_calls(self) -> None:
-        """Let the calls about jobs that are under way be answered."""
-        until = clock.uptime() + _LEAVING_SECONDS
-        while self._calls and clock.uptime() < until:
-            gevent.sleep(_CHECK_SECONDS)
+        """Wait for open job calls, up to the drain timeout."""
+        until = clock.uptime() + _DRAIN_SECONDS
+        while self._open_calls and clock.uptime() < until:
+            gevent.sleep(_DRAIN_POLL_SECONDS)
 
-    def _sound(self) -> bool:
-        """Tell whether the object service can be written from here.
+    def _can_write(self) -> bool:
+        """Tell whether this process can write to the object service.
 
-        A held watch may live on while new calls are turned away.
+        An open watch alone does not show it: it may stay open while new calls
+        are rejected.
         """
         stuck = any(one.stuck for one in self._keeper.owned.values())
         reached = self.peers_watch.current or self.store.by_peer
         return reached and not stuck
 
-    def _ask_store(self) -> None:
-        """Notice outages for all: held watches stay open and say nothing."""
+    def _probe_store(self) -> None:
+        """Fetch an object regularly; open watches do not show an outage."""
         while True:
-            gevent.sleep(_ASK_SECONDS / 2)
-            rested = clock.uptime() - self.store.reached_at
-            if self._keeper.owned and rested > _ASK_SECONDS:
+            gevent.sleep(_PROBE_AFTER_SECONDS / 2)
+            idle = clock.uptime() - self.store.reached_at
+            if self._keeper.owned and idle > _PROBE_AFTER_SECONDS:
                 shard = next(iter(self._keeper.owned))
                 self.store.fetch(head_key(ShardId(shard)))
 
-    def _forget(self) -> None:
+    def _remove_expired(self) -> None:
         while True:
-            gevent.sleep(_FORGET_SECONDS)
+            gevent.sleep(_EXPIRY_INTERVAL_SECONDS)
             for board in list(self._keeper.owned.values()):
                 board.remove_expired_jobs()
                 if board.snapshot_failure:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
@@ -1,4 +1,4 @@
-"""Take up what the settings file says anew while the process runs."""
+"""Reload of the settings file while the process runs."""
 
 from typing import Protocol
 
@@ -9,8 +9,8 @@
 from bendlead_gateway._log import Log
 from bendlead_gateway.types import NodeSettings
 
-#: What is fixed for the life of a process: it listens there, and peers know it.
-_FIXED = frozenset(
+#: Settings that take effect at the next start only: addresses and identity.
+_RESTART_REQUIRED = frozenset(
     (
         'node',
         'role',
@@ -25,14 +25,14 @@
 
 
 class SettingsSource(Protocol):
-    """Tell of new settings."""
+    """Source of settings, such as a file, that detects changes."""
 
     def changed(self) -> Result[NodeSettings | None, str]:
-        """Give new settings, nothing, or why they can't be read."""
+        """Return changed settings, None if unchanged, or the read error."""
 
 
 class Reloader:
-    """Compare new settings with those in force, and say what became of them."""
+    """Applies changed settings to the running process and logs the outcome."""
 
     def __init__(
         self, source: SettingsSource, store: FollowedStore, log: Log
@@ -42,35 +42,36 @@
         self._log = log
 
     def reload(self, settings: NodeSettings, *, asked: bool) -> NodeSettings:
-        """Give the settings in force from now on.
+        """Return the settings in force from now on.
 
-        Times hold at once, a new address of the object service too; the rest
-        waits for the next start. Nothing is logged of a look without news that
-        nobody asked for.
+        Durations and the address of the object service apply at once, the
+        other settings at the next start. An unchanged file is logged only if
+        the reload was requested by a signal.
         """
-        found = self._source.changed()
-        if isinstance(found, Err):
-            self._log.event('reload-failed', reason=found.err_value)
+        source_settings = self._source.changed()
+        if isinstance(source_settings, Err):
+            self._log.event('reload-failed', reason=source_settings.err_value)
             return settings
-        fresh = found.ok_value
-        if fresh is None:
+        latest = source_settings.ok_value
+        if latest is None:
             if asked:
                 self._log.event('reload', changed='nothing')
             return settings
-        changed = _changed(settings, fresh)
+        changed = _changed_fields(settings, latest)
         if 'store_address' in changed:
-            self._store.move(fresh.store_address)
+            self._store.move(latest.store_address)
         self._log.event(
             'reload',
             changed=','.join(changed) or 'nothing',
-            at_next_start=','.join(_FIXED.intersection(changed)) or 'nothing',
+            at_next_start=','.join(_RESTART_REQUIRED.intersection(changed))
+            or 'nothing',
         )
-        return fresh
+        return latest
 
 
-def _changed(before: NodeSettings, after: NodeSettings) -> list[str]:
+def _changed_fields(before: NodeSettings, after: NodeSettings) -> list[str]:
     return [
-        one.name
-        for one in fields(NodeSettings)
-        if getattr(before, one.name) != getattr(after, one.name)
+        field.name
+        for field in fields(NodeSettings)
+        if getattr(before, field.name) != getattr(after, field.name)
     ]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
@@ -1,52 +1,50 @@
-"""Until when a process that was told to stop takes work, and when it ends."""
+"""Schedule of a graceful shutdown."""
 
 from bendlead_store import clock
 from msgspec import Struct
 
-#: After SIGTERM new work is taken for this long (s): the platform asks once a
-#: second and takes a node out after two misses. It goes on sending clients
-#: where a data hall has no other node; what came later could not end before
-#: the process is killed.
-_NEW_WORK_SECONDS = 2.5
-#: The same as a share of the time allowed, where that is short.
-_NEW_WORK_SHARE = 0.5
-#: The process ends this long (s) before the platform would kill it.
+#: New work is accepted for this long after SIGTERM: the platform checks
+#: readiness once a second and removes a node after two failures.
+_ACCEPT_SECONDS = 2.5
+#: Upper limit of the above, as a share of the grace period.
+_MAX_ACCEPT_SHARE = 0.5
+#: The process ends this long before the platform would kill it.
 _MARGIN_SECONDS = 0.6
-#: The same as a share. Work that still ran in the last sixth of the time
-#: allowed was given all the time there was, so the end must not come before.
-_MARGIN_SHARE = 0.1
+#: Upper limit of the margin, as a share of the grace period. It must be less
+#: than a sixth: running work is entitled to the first five sixths.
+_MAX_MARGIN_SHARE = 0.1
 
 
 class StopSchedule(Struct, frozen=True):
-    """Hold the moments of one stop, on the steady clock (s)."""
+    """Moments of one shutdown, in seconds of ``clock.uptime``."""
 
     began: float
-    #: No work is taken from here on, whatever connection it comes by.
+    #: From here on new work is rejected on all connections.
     closes: float
-    #: What is unfinished now is ended.
+    #: Work that still runs is aborted.
     ends: float
 
     @classmethod
     def begin(cls, grace: float) -> 'StopSchedule':
-        """Begin a stop now; the process is killed after grace seconds."""
+        """Start a shutdown now, with a grace period in seconds."""
         began = clock.uptime()
         return cls(
             began,
-            began + min(_NEW_WORK_SECONDS, grace * _NEW_WORK_SHARE),
-            began + grace - min(_MARGIN_SECONDS, grace * _MARGIN_SHARE),
+            began + min(_ACCEPT_SECONDS, grace * _MAX_ACCEPT_SHARE),
+            began + grace - min(_MARGIN_SECONDS, grace * _MAX_MARGIN_SHARE),
         )
 
     @property
     def age(self) -> float:
-        """Give the seconds since the process was told to stop."""
+        """Seconds since the shutdown started."""
         return clock.uptime() - self.began
 
     @property
     def closed(self) -> bool:
-        """Tell whether no more work is taken."""
+        """Whether new work is rejected."""
         return clock.uptime() >= self.closes
 
     @property
     def left(self) -> float:
-        """Give the seconds until the process ends."""
+        """Seconds until the process ends."""
         return self.ends - clock.uptime()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspension.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspension.py
@@ -1,31 +1,31 @@
-"""Notice that the machine was suspended and woke again."""
+"""Detection of suspensions of the machine."""
 
 import time
 
 from bendlead_store import clock
 
-#: The two clocks are read one after the other; a process that is stopped in
-#: between sees them apart by less than this (s), or again at the next look.
-_LEAST_SECONDS = 0.2
+#: Shorter differences are ignored: the process may be descheduled between the
+#: readings of the two clocks.
+_MIN_SUSPENSION_SECONDS = 0.2
 
 
 class SuspensionWatch:
-    """Compare the clock that counts suspended time with the one that doesn't.
+    """Compares a clock that counts suspended time with one that does not.
 
-    Timers of tasks don't count it either: what was to end at a deadline goes
-    on for as long after the wake as was left before.
+    Timers of tasks do not count suspended time either, so deadlines pass late
+    after a suspension.
     """
 
     def __init__(self) -> None:
-        self._ahead = _ahead()
+        self._offset = _clock_offset()
 
     def look(self) -> float:
-        """Give the seconds for which the machine slept since the last look."""
-        ahead = _ahead()
-        slept = ahead - self._ahead
-        self._ahead = ahead
-        return slept if slept > _LEAST_SECONDS else 0
+        """Return the seconds of suspension since the last call."""
+        offset = _clock_offset()
+        suspended = offset - self._offset
+        self._offset = offset
+        return suspended if suspended > _MIN_SUSPENSION_SECONDS else 0
 
 
-def _ahead() -> float:
+def _clock_offset() -> float:
     return clock.uptime() - time.monotonic()
--- a/packages/bendlead-gateway/src/bendlead_gateway/dialect.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What the gateway needs of whoever knows the platform's words."""
+"""Interface between the gateway and the platform's message formats."""
 
 from collections.abc import Sequence
 from typing import Protocol
@@ -25,43 +25,43 @@
 
 
 class Dialect(Protocol):
-    """Translate between the platform's messages and the gateway's types."""
+    """Converts between messages of the platform and types of the gateway."""
 
-    #: Prefixes of the keys under which the platform keeps its objects.
+    #: Keys and key prefixes of the objects in the platform's object service.
     config_key: str
     engines_prefix: str
     peers_prefix: str
     stops_prefix: str
     suspects_prefix: str
-    #: The path at which the platform asks whether a node takes clients.
+    #: Path of the readiness checks of the platform.
     ready_path: str
 
     def configuration(self, entry: Entry) -> Result[Configuration, Failure]:
-        """Decode the configuration an operator wrote."""
+        """Decode the configuration set by operators."""
 
     def engine(self, entry: Entry) -> Result[Engine, Failure]:
-        """Decode one engine of service discovery."""
+        """Decode the registration of an engine."""
 
     def peer(self, entry: Entry) -> Result[PeerRecord, Failure]:
-        """Decode one process of ours."""
+        """Decode the registration of a gateway process."""
 
     def encode_peer(self, record: PeerRecord) -> bytes:
-        """Encode one process of ours."""
+        """Encode the registration of a gateway process."""
 
     def stop_order(self, entry: Entry) -> Result[StopOrder, Failure]:
-        """Decode an order to empty a node."""
+        """Decode an order to drain a node."""
 
     def stop_status(self, finished: bool) -> bytes:
-        """Encode how far the emptying of a node is."""
+        """Encode whether the draining of a node is finished."""
 
     def request_facts(self, headers: Headers) -> RequestFacts | None:
-        """Read a client's headers, or nothing where no id came."""
+        """Decode a client's headers; None if the request id is missing."""
 
     def caller_key(self, headers: Headers) -> KeyDigest | None:
-        """Give the digest of a client's key, or nothing where none came."""
+        """Return the digest of a client's key; None if no key was sent."""
 
     def without_key(self, headers: Headers) -> list[tuple[str, str]]:
-        """Leave out what tells or names the team of a client."""
+        """Return the headers without the key and the name of the team."""
 
     def engine_headers(
         self,
@@ -71,7 +71,10 @@
         resume_after: int | None,
         team: TeamName,
     ) -> list[tuple[str, str]]:
-        """Make the headers that go to an engine with a client's request."""
+        """Return the headers of an online request to an engine.
+
+        ``left`` is the time until the deadline in seconds.
+        """
 
     def item_headers(
         self,
@@ -82,22 +85,22 @@
         resume_after: int | None,
         team: TeamName,
     ) -> list[tuple[str, str]]:
-        """Make the headers that go to an engine with an item of a job."""
+        """Return the headers of a batch item's request to an engine."""
 
     def engine_answer(self, status: int, headers: Headers) -> EngineAnswer:
-        """Read the head of an engine's answer."""
+        """Decode the status and headers of an engine's response."""
 
     def job_call(
         self, method: str, target: str, headers: Headers
     ) -> JobCall | None:
-        """Tell which call about a job this is, if it is one."""
+        """Decode a job call; None if the request is not one."""
 
     def submission(
         self, target: str, headers: Headers, body: bytes
     ) -> Submission | None:
-        """Decode a job, or nothing where the body is no job."""
+        """Decode a submitted job; None if the body is invalid."""
 
     def encode_results(
         self, total: int, position: int, results: Sequence[ItemResult]
     ) -> bytes:
-        """Encode the results at a position and those that follow."""
+        """Encode the results of a job from a position on."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/json_values.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/json_values.py
@@ -1,4 +1,4 @@
-"""Values of ours are JSON where they are JSON already, and base64 elsewhere."""
+"""Encoding of stored values: JSON as it is, other bytes as base64."""
 
 import base64
 
@@ -6,26 +6,26 @@
 
 
 def pack_value(body: bytes) -> msgspec.Raw:
-    """Write a value as JSON: its own, or base64 of other bytes."""
+    """Encode a value: JSON objects and lists as is, other bytes as base64."""
     if _is_json(body):
         return msgspec.Raw(body)
     return msgspec.Raw(b'"%b"' % base64.b64encode(body))
 
 
 def unpack_value(specification: msgspec.Raw) -> bytes:
-    """Give the value that an object holds."""
+    """Decode the value of a stored object."""
     raw = bytes(specification)
     if raw[:1] != b'"':
         return raw
     try:
         return base64.b64decode(raw[1:-1], validate=True)
     except ValueError:
-        # Not written by us: whoever decodes it says what is wrong with it.
+        # Not written by the gateway; the decoder of the object reports it.
         return raw
 
 
 def _is_json(body: bytes) -> bool:
-    """Tell objects and lists from packed bytes, which may begin like them."""
+    """Tell whether bytes are a valid JSON object or list."""
     if body[:1] not in {b'{', b'['}:
         return False
     try:
--- a/packages/bendlead-gateway/src/bendlead_gateway/numbers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/numbers.py
@@ -1,19 +1,19 @@
-"""Numbers in headers, which may be anything."""
+"""Parsing of numbers in untrusted headers."""
 
 import math
 
 
 def read_number(text: str | None) -> float | None:
-    """Read a number, or give none where the text is no finite one."""
+    """Return a finite number, or None if the text is not one."""
     try:
-        found = float(text or '')
+        number = float(text or '')
     except ValueError:
         return None
-    return found if math.isfinite(found) else None
+    return number if math.isfinite(number) else None
 
 
 def read_seconds(text: str | None, default: float, longest: float) -> float:
-    """Read a time, at most the longest one; the default where it is none."""
+    """Return a duration up to ``longest``; the default if it is invalid."""
     seconds = read_number(text)
     if seconds is None or seconds < 0:
         return default
--- a/packages/bendlead-gateway/src/bendlead_gateway/process.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/process.py
@@ -1,4 +1,4 @@
-"""Run one process of the gateway."""
+"""Entry point of the gateway's processes."""
 
 import socket
 
@@ -16,8 +16,8 @@
     source: SettingsSource,
     clients: socket.socket | None = None,
 ) -> None:
-    """Run as an entry or as an owner of batch jobs until told to stop."""
-    # Each role loads only its own modules, for memory's sake.
+    """Run an entry or an owner of batch jobs until it is stopped."""
+    # Each role imports only its own modules, to save memory.
     if settings.role is NodeRole.ENTRY:
         from bendlead_gateway._entry import EntryNode  # noqa: PLC0415
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/suspects.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/suspects.py
@@ -1,4 +1,4 @@
-"""Requests under which engines end, for whatever face takes them."""
+"""Detection of requests that crash engines, shared with other packages."""
 
 from bendlead_gateway._fleet.probe import refuses_connections
 from bendlead_gateway._suspects.crash_history import (
--- a/packages/bendlead-gateway/src/bendlead_gateway/teams.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/teams.py
@@ -1,4 +1,4 @@
-"""Limits of teams over all entries, for whatever face takes their requests."""
+"""Rate limits of teams over all entries, shared with other packages."""
 
 from bendlead_gateway._teams.limits import TeamLimits
 from bendlead_gateway._teams.quota import EntryGroup
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -90,7 +90,7 @@
         made = settings('entry-1', NodeRole.ENTRY, link.address)
         entry = EntryNode(made, PlatformStore(link.address), PlatformDialect())
         entry.serve()
-        gevent.spawn(entry._sweep)
+        gevent.spawn(entry._run_maintenance)
         eventually(lambda: entry.fleet.config_watch.holding)
         eventually(lambda: entry.peers.claims.able_owners(), 5)
         gevent.sleep(1 + rest)
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -108,7 +108,7 @@
         self.configure()
         node = self.holding()
         eventually(lambda: node.fleet.config_watch.holding)
-        gevent.spawn(node._sweep)
+        gevent.spawn(node._run_maintenance)
         gevent.sleep(0.1)
         with asleep():
             line = eventually(
