--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -1,4 +1,4 @@
-"""Base cases: an entry or an owner beside scripted engines, in one process."""
+"""Base test cases with gateway nodes and scripted engines in one process."""
 
 import base64
 import json
@@ -26,12 +26,12 @@
     settings,
 )
 
-#: The stream of an item that breaks off; its engine closes the connection.
-CUT = chunked(event(1, 'a'), last=False)
+#: A truncated event stream, after which the engine closes the connection.
+TRUNCATED = chunked(event(1, 'a'), last=False)
 
 
 class EntryCase(unittest.TestCase):
-    """Start a store, scripted engines and an entry."""
+    """Starts an object service, scripted engines and an entry."""
 
     def setUp(self):
         self.addCleanup(Tasks().end)
@@ -40,17 +40,18 @@
         self.engines = []
 
     def start(self, *routes, answers=(), others=0, **changed):
-        """Start engines that each give their answers, and the entry.
+        """Start one engine for each answer, and the entry.
 
-        What is given by name changes the settings of the entry.
+        ``others`` engines are already registered; ``changed`` are settings of
+        the entry.
         """
-        for number, given in enumerate(answers):
-            self._start_engine(number, given)
+        for number, answer in enumerate(answers):
+            self._start_engine(number, answer)
         self.store.set('config', 'main', configuration(1, *routes))
-        made = settings('entry-1', NodeRole.ENTRY, self.store.address)
-        made = structs.replace(made, **changed)
-        store = PlatformStore(made.store_address)
-        self.entry = EntryNode(made, store, PlatformDialect())
+        own = settings('entry-1', NodeRole.ENTRY, self.store.address)
+        own = structs.replace(own, **changed)
+        store = PlatformStore(own.store_address)
+        self.entry = EntryNode(own, store, PlatformDialect())
         self.entry.serve()
         eventually(
             lambda: (
@@ -60,12 +61,12 @@
         )
 
     def hold(self):
-        """Wait until the watch of the configuration is held by the store."""
+        """Wait until the object service holds the configuration watch."""
         eventually(lambda: self.entry.fleet.config_watch.holding)
         gevent.sleep(0.1)
 
     def ask(self, path='/x/1', patience=2000, extra=()):
-        """Send one request and give the connection."""
+        """Send one request and return the connection."""
         connection = HttpConnection(self.entry.settings.clients_address, 1)
         self.addCleanup(connection.close)
         headers = [
@@ -78,23 +79,23 @@
         return connection
 
     def read(self, connection):
-        """Read a whole answer."""
+        """Read a complete response and return its head and body."""
         head = connection.read_head(3)
         return head, b''.join(connection.read_parts(head, 3))
 
     def sent(self):
-        """Count the requests that reached engines."""
-        return sum(len(one.requests) for one in self.engines)
+        """Return the number of requests that reached engines."""
+        return sum(len(peer.requests) for peer in self.engines)
 
-    def _start_engine(self, number, given):
+    def _start_engine(self, number, answer):
         def script(sock):
             request = peer.read_request(sock)
-            if callable(given):
-                given(sock, request)
-            elif given:
-                sock.sendall(given)
-            if given is None:
-                # The engine stays silent.
+            if callable(answer):
+                answer(sock, request)
+            elif answer:
+                sock.sendall(answer)
+            if answer is None:
+                # The engine does not respond.
                 gevent.sleep(5)
 
         peer = ScriptedPeer([script] * 4)
@@ -104,7 +105,7 @@
 
 
 class OwnerCase(unittest.TestCase):
-    """Start a store and owners."""
+    """Starts an object service, one scripted engine and owners."""
 
     def setUp(self):
         self.addCleanup(Tasks().end)
@@ -112,45 +113,45 @@
         self.store.start()
 
     def configure(self, answers=(), **changed):
-        """Start one engine that gives its answers one after the other."""
+        """Start one engine that sends its answers in turn."""
         changed = {'max_attempts': 3, **changed}
-        made = configuration(1, route('batch', **changed))
-        self.store.set('config', 'main', made)
-        given = list(answers)
+        config = configuration(1, route('batch', **changed))
+        self.store.set('config', 'main', config)
+        remaining = list(answers)
 
         def script(sock):
             while True:
                 if not self.engine.read_request(sock):
                     return
-                if not given:
-                    # The engine works on without an event.
+                if not remaining:
+                    # The engine runs on without sending an event.
                     gevent.sleep(5)
                     return
-                sock.sendall(given.pop(0))
-                if given and given[0] is CUT:
+                sock.sendall(remaining.pop(0))
+                if remaining and remaining[0] is TRUNCATED:
                     return
 
         self.engine = ScriptedPeer([script] * 50)
         self.addCleanup(self.engine.close)
-        listed = engine(self.engine.address)
-        self.store.set('servers', 'i-1', listed)
+        registration = engine(self.engine.address)
+        self.store.set('servers', 'i-1', registration)
 
     def owner(self, name='owner-1'):
-        """Start an owner and wait until it holds shards."""
-        made = settings(name, NodeRole.OWNER, self.store.address)
-        store = PlatformStore(made.store_address)
-        node = OwnerNode(made, store, PlatformDialect())
+        """Start an owner."""
+        own = settings(name, NodeRole.OWNER, self.store.address)
+        store = PlatformStore(own.store_address)
+        node = OwnerNode(own, store, PlatformDialect())
         node.serve()
         return node
 
     def holding(self, name='owner-1'):
-        """Start an owner that holds all shards."""
+        """Start an owner and wait until it owns all shards."""
         node = self.owner(name)
         eventually(lambda: len(node._keeper.owned) == 4)
         return node
 
     def two_owners(self):
-        """Start an owner with a job, and one that could take over."""
+        """Start an owner with a job, and another that could take it over."""
         self.configure()
         first = self.holding()
         self.submit(first)
@@ -159,7 +160,7 @@
         return first, second
 
     def call(self, node, method, target, body=b'', wait=0, name='j1'):
-        """Make a call as an entry relays it."""
+        """Send a job call as an entry does when it forwards one."""
         connection = HttpConnection(node.record.address, 1)
         self.addCleanup(connection.close)
         headers = [
@@ -170,11 +171,11 @@
         return connection.request(method, target, headers, body, 4)
 
     def submit(self, node, body=None):
-        """Hand the job in."""
+        """Submit a job and return the response status."""
         return self.call(node, 'POST', '/x/j1', body or job()).head.status
 
     def results(self, node):
-        """Read all results."""
+        """Return all results of the job, or none if it is not found."""
         response = self.call(node, 'GET', '/-/lots/j1?watch_after=0')
         if response.head.status != 200:
             return []
@@ -182,7 +183,7 @@
 
 
 def job(items=1, tokens=10, size=6):
-    """Make the body of a job."""
+    """Return the body of a job."""
     body = base64.b64encode(b'p' * size).decode()
     return json.dumps(
         {
@@ -195,7 +196,7 @@
 
 
 def node_shard() -> int:
-    """Give the shard of the test's host."""
+    """Return the shard of the tests' host."""
     from bendlead_gateway._jobs.shards import shard_of
 
     return shard_of('a.example')
--- a/tests/gateway_standins.py
+++ b/tests/gateway_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for tests of the gateway: scripted peers on loopback sockets."""
+"""Test doubles of engines and peers on loopback sockets, and helpers."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -15,7 +15,7 @@
 from bendlead_testing.ports import free_port
 from gevent import socket
 
-#: A task that does not end within this time (s) is asked again.
+#: Time for tasks to end before they are killed again.
 _END_SECONDS = 2.0
 _END_ATTEMPTS = 3
 
@@ -23,7 +23,7 @@
 
 
 class ScriptedPeer:
-    """Accept connections and let a script talk on each of them in turn."""
+    """Runs one script for each accepted connection, in their order."""
 
     def __init__(self, scripts: Sequence[Script]) -> None:
         self._scripts = list(scripts)
@@ -40,7 +40,7 @@
         self._sock.close()
 
     def read_request(self, sock: socket.socket) -> bytes:
-        """Read one request with its body and keep it."""
+        """Read one request with its body and record it."""
         data = b''
         while b'\r\n\r\n' not in data:
             received = sock.recv(65536)
@@ -61,81 +61,82 @@
     def _accept(self) -> None:
         for script in self._scripts:
             sock, _peer = self._sock.accept()
-            gevent.spawn(self._talk, script, sock)
+            gevent.spawn(self._run_script, script, sock)
 
-    def _talk(self, script: Script, sock: socket.socket) -> None:
+    def _run_script(self, script: Script, sock: socket.socket) -> None:
         try:
             script(sock)
         except OSError:
-            # The other side closed; the test looks at what it did before.
+            # The peer closed; tests check the requests sent until then.
             return
         finally:
             sock.close()
 
 
 class Tasks:
-    """End all tasks that a test has started, those of its nodes among them.
+    """Ends all tasks started since it was made, those of nodes included.
 
-    Nodes that go on behind their test slow down all that come later: four
-    files left 1,900 tasks, which took 0.23 s of processor time a second.
+    Tasks that outlive their test would slow down the tests after it.
     """
 
     def __init__(self) -> None:
         self._started: WeakSet[gevent.Greenlet] = WeakSet()
-        gevent.Greenlet.add_spawn_callback(self._note)
+        gevent.Greenlet.add_spawn_callback(self._record)
 
     def end(self) -> None:
-        """End them, and those that they start while they end."""
+        """Kill the tasks, and those that they start meanwhile."""
         for _attempt in range(_END_ATTEMPTS):
             gevent.killall(self._alive, timeout=_END_SECONDS)
-        gevent.Greenlet.remove_spawn_callback(self._note)
+        gevent.Greenlet.remove_spawn_callback(self._record)
         if self._alive:
-            raise AssertionError(f'tasks that do not end: {self._alive}')
+            raise AssertionError(
+                f'tasks still running after kill: {self._alive}'
+            )
 
     def finish(self) -> None:
-        """Wait until all have ended by themselves."""
+        """Wait until all tasks have ended by themselves."""
         while self._alive:
             gevent.joinall(self._alive)
 
-    def _note(self, task: gevent.Greenlet) -> None:
+    def _record(self, task: gevent.Greenlet) -> None:
         self._started.add(task)
 
     @property
     def _alive(self) -> list[gevent.Greenlet]:
-        return [one for one in self._started if not one.dead]
+        return [task for task in self._started if not task.dead]
 
 
 class ProcessLife(Tasks):
-    """Start a node and end it as a kill does: all its tasks, none of others.
+    """Simulates a killed process: ends the tasks of one node only.
 
-    A test runs its engines and its object service in the same process.
+    Engines and the object service of the test run in the same process.
     """
 
     def start(self, starts: Callable[[], Any]) -> Any:
-        """Start a node in a task of its own and give it."""
+        """Call ``starts`` in a task of its own and return its result."""
         root = gevent.spawn(starts)
         self._started.add(root)
         return root.get()
 
-    def _note(self, task: gevent.Greenlet) -> None:
+    def _record(self, task: gevent.Greenlet) -> None:
         if task.spawning_greenlet() in self._started:
             self._started.add(task)
 
 
 def chunked(*parts: bytes, headers: str = '', last: bool = True) -> bytes:
-    """Make a chunked 200 answer."""
+    """Return a chunked 200 response."""
     head = f'HTTP/1.1 200 OK\r\n{headers}Transfer-Encoding: chunked\r\n\r\n'
     body = b''.join(b'%x\r\n%b\r\n' % (len(part), part) for part in parts)
     return head.encode() + body + (b'0\r\n\r\n' if last else b'')
 
 
 def event(number: int, text: str) -> bytes:
-    """Make one event of a stream."""
+    """Return one server-sent event."""
     return f'id: {number}\ndata: {text}\n\n'.encode()
 
 
 def settings(node: str, role: NodeRole, store: str) -> NodeSettings:
-    """Make the settings of a node on loopback."""
+    """Return the settings of a node on loopback."""
     return NodeSettings(
         node=NodeName(node),
         role=role,
@@ -153,8 +154,8 @@
 
 
 def route(kind: str, **changed: Any) -> dict[str, Any]:
-    """Make a route of the operator's configuration."""
-    made = {
+    """Return a route of the operator's configuration."""
+    fields = {
         'name': 'r-1',
         'host': 'a.example',
         'path_prefix': '/x/',
@@ -168,12 +169,12 @@
         'run_target_ms': 18_000,
         'retention_s': 60,
     }
-    made.update(changed)
-    return made
+    fields.update(changed)
+    return fields
 
 
 def configuration(version: int, *routes: dict[str, Any]) -> dict[str, Any]:
-    """Make a configuration of the operator."""
+    """Return an operator's configuration with one service."""
     return {
         'version': version,
         'routes': list(routes),
@@ -182,31 +183,31 @@
 
 
 def engine(address: str, **changed: Any) -> dict[str, Any]:
-    """Make what an engine tells of itself."""
-    made = {
+    """Return the registration of an engine."""
+    fields = {
         'service': 's1',
         'address': address,
         'zone': 'hall-1',
         'slots': 8,
         'state': 'ready',
     }
-    made.update(changed)
-    return made
+    fields.update(changed)
+    return fields
 
 
 def eventually(check: Callable[[], Any], seconds: float = 3) -> Any:
-    """Wait until a check gives something, and give that."""
+    """Wait until a check returns a true value, and return it."""
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        found = check()
-        if found:
-            return found
+        outcome = check()
+        if outcome:
+            return outcome
         gevent.sleep(0.01)
-    raise AssertionError(f'not within {seconds} s')
+    raise AssertionError(f'condition not met within {seconds} s')
 
 
 class FullListener:
-    """Listen on an address whose connections don't come up."""
+    """Listener with a full backlog: connecting to it times out."""
 
     def __init__(self) -> None:
         self.sock = socket.socket()
@@ -222,10 +223,10 @@
 
 
 class SilentLink:
-    """Carry connections to an address; those that are open can fall silent.
+    """TCP proxy whose open connections can be made to stall.
 
-    They stay open then and their bytes are still acknowledged, so neither
-    keep-alive probes nor time-outs of the system show it.
+    Stalled connections stay open and acknowledge data, so neither keep-alive
+    probes nor system timeouts detect them.
     """
 
     def __init__(self, target: str) -> None:
@@ -240,12 +241,12 @@
         self._task = gevent.spawn(self._accept)
 
     def silence(self) -> None:
-        """Carry nothing more on the connections that are open now."""
+        """Forward no more data on the connections that are open now."""
         gevent.killall(self._pumps)
         self._pumps.clear()
 
     def close(self) -> None:
-        """Close all connections and take no more."""
+        """Close all connections and stop accepting."""
         self._task.kill()
         self.silence()
         for end in (self._sock, *self._ends):
@@ -268,27 +269,26 @@
                 sink.sendall(part)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # One end is gone; so is the other, as far as a peer can tell.
+            # Propagate the loss of one end to the other.
             sink.close()
 
 
 class MortalEngine:
-    """Answer requests, and end under those whose body is of a kind.
+    """Engine that crashes on requests whose body contains a marker.
 
-    It sends the head of an answer first, as an engine does that has begun;
-    then its process is gone: all its connections close, and its address
-    refuses new ones.
+    It sends the response head first, as a running engine does. After the crash
+    its connections are closed and new ones are refused.
     """
 
     HEAD = b'HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n'
 
-    def __init__(self, deadly: bytes, runs_seconds: float = 0.02) -> None:
-        self._deadly = deadly
+    def __init__(self, crash_marker: bytes, runs_seconds: float = 0.02) -> None:
+        self._crash_marker = crash_marker
         self._runs_seconds = runs_seconds
         self._open: list[socket.socket] = []
         self._tasks: list[gevent.Greenlet] = []
         self.bodies: list[bytes] = []
-        self.ended = False
+        self.crashed = False
         self._sock = socket.socket()
         self._sock.bind(('127.0.0.1', 0))
         self._sock.listen(64)
@@ -296,8 +296,8 @@
         self._accepting = gevent.spawn(self._accept)
 
     def close(self) -> None:
-        """End, as under a request of that kind."""
-        self.ended = True
+        """Crash, as on a request with the marker."""
+        self.crashed = True
         self._accepting.kill(block=False)
         for sock in (self._sock, *self._open):
             sock.close()
@@ -313,14 +313,14 @@
             while body := _read_body(sock):
                 self._answer(sock, body)
         except OSError:
-            # Its caller has closed, or the engine has ended.
+            # The client closed the connection, or the engine crashed.
             sock.close()
 
     def _answer(self, sock: socket.socket, body: bytes) -> None:
         self.bodies.append(body)
         sock.sendall(self.HEAD)
         gevent.sleep(self._runs_seconds)
-        if self._deadly in body:
+        if self._crash_marker in body:
             self.close()
             return
         text = event(1, 'ok')
@@ -328,7 +328,7 @@
 
 
 def _read_body(sock: socket.socket) -> bytes:
-    """Read one request with a length and give its body."""
+    """Read one request with a Content-Length and return its body."""
     received = b''
     while b'\r\n\r\n' not in received:
         part = sock.recv(65536)
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -149,7 +149,7 @@
     @property
     def crashed(self):
         """Count the engines that have crashed."""
-        return sum(engine.ended for engine in self.engines)
+        return sum(engine.crashed for engine in self.engines)
 
 
 class CrashLogTest(CrashCase):
--- a/tests/test_gateway_fuzz.py
+++ b/tests/test_gateway_fuzz.py
@@ -1,7 +1,7 @@
-"""Whatever others send, decoders give a value or an error of their own.
+"""Fuzz tests: decoders of untrusted input return a value or a known error.
 
-Short and the same each time; FUZZ_EXAMPLES sets another number of examples,
-which are then drawn anew.
+Runs are short and deterministic; with FUZZ_EXAMPLES set they use that many
+random examples.
 """
 
 import json
@@ -29,7 +29,7 @@
 from tests.gateway_standins import settings as node_settings
 
 _EXAMPLES = int(os.environ.get('FUZZ_EXAMPLES', '0'))
-_fuzzed = settings(
+_fuzz_settings = settings(
     max_examples=_EXAMPLES or 150,
     derandomize=not _EXAMPLES,
     deadline=None,
@@ -42,7 +42,7 @@
     st.floats(allow_nan=False, allow_infinity=False),
     st.sampled_from([-1, 0, 2**31, 2**63, 2**64, 10**30, 1e308]),
 )
-_VALUES = st.recursive(
+_JSON_VALUES = st.recursive(
     st.one_of(st.none(), st.booleans(), _NUMBERS, st.text(max_size=8)),
     lambda inner: st.one_of(
         st.lists(inner, max_size=3),
@@ -138,80 +138,83 @@
 
 
 @st.composite
-def _changed(draw, value):
-    """Replace, drop or keep parts of a value, at any depth."""
-    way = draw(st.sampled_from(['keep', 'keep', 'keep', 'replace']))
-    if way == 'replace':
-        return draw(_VALUES)
+def _mutated(draw, value):
+    """Replace, drop or keep parts of a JSON value, at any depth."""
+    action = draw(st.sampled_from(['keep', 'keep', 'keep', 'replace']))
+    if action == 'replace':
+        return draw(_JSON_VALUES)
     if isinstance(value, dict):
         kept = {
-            name: draw(_changed(one))
-            for name, one in value.items()
+            name: draw(_mutated(part))
+            for name, part in value.items()
             if draw(st.integers(0, 9))
         }
-        return {**kept, **draw(st.dictionaries(st.text(), _VALUES, max_size=1))}
+        return {
+            **kept,
+            **draw(st.dictionaries(st.text(), _JSON_VALUES, max_size=1)),
+        }
     if isinstance(value, list):
-        return [draw(_changed(one)) for one in value]
+        return [draw(_mutated(part)) for part in value]
     return value
 
 
-def _edited(whole):
-    """Change some bytes of a text."""
+def _with_bytes_replaced(original):
+    """Replace some bytes of a message."""
     edits = st.lists(
-        st.tuples(st.integers(0, len(whole) - 1), st.binary(max_size=3)),
+        st.tuples(st.integers(0, len(original) - 1), st.binary(max_size=3)),
         max_size=4,
     )
 
-    def apply(found):
-        made = whole
-        for place, part in found:
-            made = made[:place] + part + made[place + 1 :]
-        return made
+    def apply(replacements):
+        message = original
+        for index, part in replacements:
+            message = message[:index] + part + message[index + 1 :]
+        return message
 
     return edits.map(apply)
 
 
 class ObjectTest(unittest.TestCase):
-    """Entries of the object service, of whoever wrote them."""
+    """Objects of the object service, written by any client of it."""
 
     @parameterized.expand(list(_OBJECTS))
     def test_decoder(self, kind):
         decode = getattr(_DIALECT, kind)
 
-        @_fuzzed
+        @_fuzz_settings
         @given(st.data())
         def check(drawn):
             body = drawn.draw(
                 st.one_of(
                     st.binary(max_size=40),
-                    _changed(_OBJECTS[kind]).map(
-                        lambda made: json.dumps(made).encode()
+                    _mutated(_OBJECTS[kind]).map(
+                        lambda changed: json.dumps(changed).encode()
                     ),
                 )
             )
-            found = decode(Entry(f'{kind}/x', Version(1), body))
-            self.assertIsInstance(found, Ok | Err)
+            decoded = decode(Entry(f'{kind}/x', Version(1), body))
+            self.assertIsInstance(decoded, Ok | Err)
 
         check()
 
 
 class CallTest(unittest.TestCase):
-    """What callers and engines write in heads and bodies."""
+    """Headers and bodies sent by clients and engines."""
 
-    @_fuzzed
+    @_fuzz_settings
     @given(_HEADERS, st.integers(100, 599))
     def test_headers(self, headers, status):
         _DIALECT.request_facts(headers)
         _DIALECT.caller_key(headers)
         _DIALECT.engine_answer(status, headers)
 
-    @_fuzzed
+    @_fuzz_settings
     @given(
         st.sampled_from(['GET', 'DELETE', 'POST']),
         st.one_of(
             st.text(max_size=20),
-            st.text(max_size=20).map(lambda one: f'/-/lots/{one}'),
-            st.text(max_size=20).map(lambda one: f'/-/items/x?id={one}'),
+            st.text(max_size=20).map(lambda name: f'/-/lots/{name}'),
+            st.text(max_size=20).map(lambda name: f'/-/items/x?id={name}'),
         ),
         _HEADERS,
     )
@@ -220,9 +223,9 @@
     def test_job_call(self, method, target, headers):
         _DIALECT.job_call(method, target, headers)
 
-    @_fuzzed
+    @_fuzz_settings
     @given(
-        _changed(
+        _mutated(
             {
                 'items': [
                     {
@@ -236,44 +239,46 @@
             }
         )
     )
-    def test_submission(self, made):
+    def test_submission(self, body):
         headers = [('X-Attempt-Id', '1')]
-        _DIALECT.submission('/x/1', headers, json.dumps(made).encode())
+        _DIALECT.submission('/x/1', headers, json.dumps(body).encode())
 
-    @_fuzzed
-    @given(_edited(_REQUEST), st.integers(1, 40))
+    @_fuzz_settings
+    @given(_with_bytes_replaced(_REQUEST), st.integers(1, 40))
     def test_parser(self, sent, size):
-        """Bytes in pieces make the requests that they make at once."""
+        """Requests do not depend on how their bytes are split."""
         self.assertEqual(_parse(sent, len(sent)), _parse(sent, size))
 
 
 class PeerTest(unittest.TestCase):
-    """Reports of peers, of any schema."""
+    """Reports of peers with any schema."""
 
     def setUp(self):
-        made = node_settings('entry-1', NodeRole.ENTRY, '127.0.0.1:1')
-        store = PlatformStore(made.store_address)
-        self.entry = EntryNode(made, store, _DIALECT)
+        own = node_settings('entry-1', NodeRole.ENTRY, '127.0.0.1:1')
+        store = PlatformStore(own.store_address)
+        self.entry = EntryNode(own, store, _DIALECT)
 
     def test_report(self):
-        @_fuzzed
-        @given(_changed(_REPORT))
+        @_fuzz_settings
+        @given(_mutated(_REPORT))
         def check(report):
             try:
-                told = self.entry.peers.exchange(json.dumps(report).encode())
+                response = self.entry.peers.exchange(
+                    json.dumps(report).encode()
+                )
             except msgspec.MsgspecError:
                 return
-            self.assertEqual('entry-1', json.loads(told)['node'])
+            self.assertEqual('entry-1', json.loads(response)['node'])
 
         check()
 
 
 class SettingsTest(unittest.TestCase):
-    """The settings file, written by the platform or by hand."""
+    """Settings files with invalid content raise SettingsError."""
 
     def test_settings(self):
-        @_fuzzed
-        @given(_edited(_SETTINGS.encode()))
+        @_fuzz_settings
+        @given(_with_bytes_replaced(_SETTINGS.encode()))
         def check(text):
             with tempfile.NamedTemporaryFile() as file:
                 file.write(text)
@@ -287,7 +292,7 @@
 
 
 def _parse(sent, size):
-    """Give the requests in some bytes, and the status that ends them."""
+    """Return the requests parsed from bytes and the error status, if any."""
     parser = RequestParser(ClientLimits(header_bytes=400), lambda: 1.0)
     status = None
     for start in range(0, len(sent), size):
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -10,7 +10,7 @@
 from bendlead_testing.platform_store import Trouble
 from parameterized import parameterized
 
-from tests.gateway_cases import CUT, OwnerCase, job, node_shard
+from tests.gateway_cases import TRUNCATED, OwnerCase, job, node_shard
 from tests.gateway_standins import (
     chunked,
     event,
@@ -65,7 +65,7 @@
         self.assertEqual((state, text), (found[0]['state'], found[0]['text']))
 
     def test_preempted_item_resumes_after_its_last_event(self):
-        self.configure([CUT, _TAIL])
+        self.configure([TRUNCATED, _TAIL])
         node = self.holding()
         self.submit(node)
         eventually(lambda: len(self.engine.requests) == 1)
--- a/tests/test_gateway_loading.py
+++ b/tests/test_gateway_loading.py
@@ -1,28 +1,27 @@
-"""What a process loads before it serves its first client."""
+"""Import time of a gateway process."""
 
 import subprocess
 import sys
 import unittest
 
-_COUNT = """
+_LIST_DATACLASSES = """
 import dataclasses, gc
 import bendlead_platform.main, bendlead_gateway._entry, bendlead_gateway._owner
-for found in gc.get_objects():
-    ours = isinstance(found, type) and \\
-        str(found.__module__).startswith('bendlead')
-    if ours and dataclasses.is_dataclass(found):
-        print(found.__module__, found.__name__)
+for item in gc.get_objects():
+    ours = isinstance(item, type) and \\
+        str(item.__module__).startswith('bendlead')
+    if ours and dataclasses.is_dataclass(item):
+        print(item.__module__, item.__name__)
 """
 
 
 class LoadingTest(unittest.TestCase):
-    """Clients of a process that was killed wait until it has loaded."""
+    """Importing must be fast: clients wait while a process restarts."""
 
-    def test_no_type_is_slow_to_make(self):
-        """Each dataclass costs 0.6 to 1.1 ms of processor time, a third of
-        a loading entry's time in all; a structure costs 0.02 ms."""
+    def test_no_dataclasses(self):
+        """Dataclasses are slow to create on import; msgspec structs are not."""
         done = subprocess.run(
-            [sys.executable, '-c', _COUNT],
+            [sys.executable, '-c', _LIST_DATACLASSES],
             capture_output=True,
             text=True,
             check=True,
--- a/tests/test_gateway_metrics.py
+++ b/tests/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""The counts of a process and the page that shows them."""
+"""Histograms and the metrics page."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class HistogramTest(unittest.TestCase):
-    """Durations are counted up to each bound."""
+    """Cumulative counts include durations equal to the bound."""
 
     @parameterized.expand(
         [
@@ -19,15 +19,15 @@
     )
     def test_counts(self, _name, seconds, expected):
         histogram = Histogram((1, 2))
-        for one in seconds:
-            histogram.observe(one)
+        for duration in seconds:
+            histogram.observe(duration)
         counts = [count for _bound, count in histogram.cumulative()]
         self.assertEqual(expected, counts)
         self.assertEqual(sum(seconds), histogram.total)
 
 
 class PageTest(unittest.TestCase):
-    """The page holds every metric."""
+    """The page has labelled and plain counters and histograms."""
 
     @parameterized.expand(
         [
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -1,4 +1,4 @@
-"""What becomes of new settings in a running process."""
+"""Reload of settings in a running process."""
 
 import os
 import tempfile
@@ -15,11 +15,11 @@
 
 from tests.gateway_standins import settings
 
-_BEFORE = settings('entry-1', NodeRole.ENTRY, '127.0.0.1:1')
+_SETTINGS = settings('entry-1', NodeRole.ENTRY, '127.0.0.1:1')
 
 
 class ReloadTest(unittest.TestCase):
-    """One look at a source of settings."""
+    """Changed settings are applied and logged."""
 
     @parameterized.expand(
         [
@@ -28,21 +28,21 @@
             ('unreadable', Err('bad toml'), True, 'reload-failed', None),
             (
                 'times',
-                Ok(replace(_BEFORE, grace=9)),
+                Ok(replace(_SETTINGS, grace=9)),
                 True,
                 'changed=grace at_next_start=nothing',
                 None,
             ),
             (
                 'store',
-                Ok(replace(_BEFORE, store_address='127.0.0.1:2')),
+                Ok(replace(_SETTINGS, store_address='127.0.0.1:2')),
                 False,
                 'changed=store_address',
                 '127.0.0.1:2',
             ),
             (
                 'own_address',
-                Ok(replace(_BEFORE, address='127.0.0.2')),
+                Ok(replace(_SETTINGS, address='127.0.0.2')),
                 True,
                 'at_next_start=address',
                 None,
@@ -56,20 +56,20 @@
         store = mock.Mock()
         source = mock.Mock()
         source.changed.return_value = found
-        after = Reloader(source, store, log).reload(_BEFORE, asked=asked)
+        after = Reloader(source, store, log).reload(_SETTINGS, asked=asked)
         self.assertIn(line, ' '.join(log.recent))
         self.assertEqual(bool(line), bool(log.recent))
-        fresh = found.ok_value if found.is_ok() else None
-        self.assertEqual(fresh or _BEFORE, after)
+        latest = found.ok_value if found.is_ok() else None
+        self.assertEqual(latest or _SETTINGS, after)
         self.assertEqual(
             [mock.call(moved)] if moved else [], store.move.mock_calls
         )
 
 
 class SettingsFileTest(unittest.TestCase):
-    """A file that is replaced is away for a moment."""
+    """A settings file that is missing while it is replaced is no error."""
 
-    def test_file_that_is_being_replaced(self):
+    def test_missing_while_replaced(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, 'local.toml')
             with open(path, 'w') as file:
--- a/tests/test_gateway_stopping.py
+++ b/tests/test_gateway_stopping.py
@@ -1,4 +1,4 @@
-"""The moments of a stop, for the times that platforms allow."""
+"""Schedule of a graceful shutdown by grace period."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 
 
 class StopScheduleTest(unittest.TestCase):
-    """Work ends being taken well before the end, whatever the time allowed."""
+    """New work ends well before the process does, for any grace period."""
 
     @parameterized.expand(
         [
-            ('of_the_sheets', 8, 2.5, 7.4),
+            ('usual', 8, 2.5, 7.4),
             ('long', 30, 2.5, 29.4),
             ('short', 3, 1.5, 2.7),
             ('very_short', 1, 0.5, 0.9),
@@ -23,7 +23,7 @@
         self.assertAlmostEqual(ends, stop.ends - stop.began)
         self.assertFalse(stop.closed)
         self.assertAlmostEqual(ends, stop.left, delta=0.2)
-        # The last sixth is what a request under way is due at the least.
+        # A running request is entitled to five sixths of the grace period.
         self.assertGreater(ends, grace * 5 / 6)
 
     def test_closed_at_once(self):
