--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -162,13 +162,13 @@
         then rejects new requests on all connections, kept-alive ones
         included, and waits for the running ones until the deadline.
         """
-        stop = StopSchedule.begin(self.settings.grace)
+        stop = StopSchedule.start(self.settings.grace)
         self._stop = stop
         self._clients.close_after_responses()
-        gevent.sleep(stop.closes - stop.began)
+        gevent.sleep(stop.closes_at - stop.started_at)
         self._clients.stop_accepting()
         self.log.event('clients-refused', busy=self._clients.busy)
-        while stop.left > 0:
+        while stop.seconds_left > 0:
             self._clients.close_idle()
             if not self._clients.busy:
                 break
@@ -246,7 +246,7 @@
     def _answer_client(self, request: Request, responder: Responder) -> None:
         if self.leaving or self._sheds_connections:
             responder.close_after()
-        if self._stop and self._stop.closed:
+        if self._stop and self._stop.is_closed:
             self._reject_late(request, responder, self._stop)
             return
         call = self.dialect.job_call(
@@ -309,7 +309,7 @@
             'late-request',
             target=request.target,
             served_before=responder.earlier_requests,
-            stopping_for=round(stop.age, 3),
+            stopping_for=round(stop.elapsed, 3),
         )
         responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER_HEADERS)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -28,7 +28,7 @@
 from bendlead_gateway._log import Log
 from bendlead_gateway._metrics import Metrics
 from bendlead_gateway._reload import Reloader, SettingsSource
-from bendlead_gateway._suspension import SuspensionWatch
+from bendlead_gateway._suspension import SuspensionDetector
 from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway.dialect import Dialect
 from bendlead_gateway.types import (
@@ -253,11 +253,11 @@
             responder.answer(HTTPStatus.OK, _JSON, msgspec.json.encode(known))
 
     def _run_maintenance(self) -> None:
-        suspension = SuspensionWatch()
+        suspension = SuspensionDetector()
         while True:
             gevent.sleep(_MAINTENANCE_INTERVAL_SECONDS)
-            self._check_resume(suspension.look())
-            self._reload(asked=False)
+            self._check_resume(suspension.poll())
+            self._reload(requested=False)
             self.fleet.pool.close_expired()
             if self.store.contact.returned:
                 self.fleet.doubt_watches(self.store.contact.failed_at)
@@ -277,11 +277,13 @@
         gevent.spawn(self.leave)
 
     def _on_hup(self) -> None:
-        gevent.spawn(self._reload, asked=True)
+        gevent.spawn(self._reload, requested=True)
 
-    def _reload(self, *, asked: bool) -> None:
+    def _reload(self, *, requested: bool) -> None:
         if self._reloader is not None:
-            self.settings = self._reloader.reload(self.settings, asked=asked)
+            self.settings = self._reloader.reload(
+                self.settings, requested=requested
+            )
 
 
 def _age_ms(at: float) -> int:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
@@ -41,7 +41,9 @@
         self._store = store
         self._log = log
 
-    def reload(self, settings: NodeSettings, *, asked: bool) -> NodeSettings:
+    def reload(
+        self, settings: NodeSettings, *, requested: bool
+    ) -> NodeSettings:
         """Return the settings in force from now on.
 
         Durations and the address of the object service apply at once, the
@@ -54,7 +56,7 @@
             return settings
         latest = source_settings.ok_value
         if latest is None:
-            if asked:
+            if requested:
                 self._log.event('reload', changed='nothing')
             return settings
         changed = _changed_fields(settings, latest)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
@@ -18,33 +18,33 @@
 class StopSchedule(Struct, frozen=True):
     """Moments of one shutdown, in seconds of ``clock.uptime``."""
 
-    began: float
+    started_at: float
     #: From here on new work is rejected on all connections.
-    closes: float
+    closes_at: float
     #: Work that still runs is aborted.
-    ends: float
+    ends_at: float
 
     @classmethod
-    def begin(cls, grace: float) -> 'StopSchedule':
+    def start(cls, grace: float) -> 'StopSchedule':
         """Start a shutdown now, with a grace period in seconds."""
-        began = clock.uptime()
+        now = clock.uptime()
         return cls(
-            began,
-            began + min(_ACCEPT_SECONDS, grace * _MAX_ACCEPT_SHARE),
-            began + grace - min(_MARGIN_SECONDS, grace * _MAX_MARGIN_SHARE),
+            now,
+            now + min(_ACCEPT_SECONDS, grace * _MAX_ACCEPT_SHARE),
+            now + grace - min(_MARGIN_SECONDS, grace * _MAX_MARGIN_SHARE),
         )
 
     @property
-    def age(self) -> float:
+    def elapsed(self) -> float:
         """Seconds since the shutdown started."""
-        return clock.uptime() - self.began
+        return clock.uptime() - self.started_at
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether new work is rejected."""
-        return clock.uptime() >= self.closes
+        return clock.uptime() >= self.closes_at
 
     @property
-    def left(self) -> float:
+    def seconds_left(self) -> float:
         """Seconds until the process ends."""
-        return self.ends - clock.uptime()
+        return self.ends_at - clock.uptime()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspension.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspension.py
@@ -9,7 +9,7 @@
 _MIN_SUSPENSION_SECONDS = 0.2
 
 
-class SuspensionWatch:
+class SuspensionDetector:
     """Compares a clock that counts suspended time with one that does not.
 
     Timers of tasks do not count suspended time either, so deadlines pass late
@@ -19,7 +19,7 @@
     def __init__(self) -> None:
         self._offset = _clock_offset()
 
-    def look(self) -> float:
+    def poll(self) -> float:
         """Return the seconds of suspension since the last call."""
         offset = _clock_offset()
         suspended = offset - self._offset
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -49,14 +49,16 @@
             ),
         ]
     )
-    def test_reload(self, _name, found, asked, line, moved):
+    def test_reload(self, _name, found, requested, line, moved):
         sink = os.open(os.devnull, os.O_WRONLY)
         self.addCleanup(os.close, sink)
         log = Log('entry-1', sink)
         store = mock.Mock()
         source = mock.Mock()
         source.changed.return_value = found
-        after = Reloader(source, store, log).reload(_SETTINGS, asked=asked)
+        after = Reloader(source, store, log).reload(
+            _SETTINGS, requested=requested
+        )
         self.assertIn(line, ' '.join(log.recent))
         self.assertEqual(bool(line), bool(log.recent))
         latest = found.ok_value if found.is_ok() else None
--- a/tests/test_gateway_stopping.py
+++ b/tests/test_gateway_stopping.py
@@ -18,16 +18,16 @@
         ]
     )
     def test_moments(self, _name, grace, closes, ends):
-        stop = StopSchedule.begin(grace)
-        self.assertAlmostEqual(closes, stop.closes - stop.began)
-        self.assertAlmostEqual(ends, stop.ends - stop.began)
-        self.assertFalse(stop.closed)
-        self.assertAlmostEqual(ends, stop.left, delta=0.2)
+        stop = StopSchedule.start(grace)
+        self.assertAlmostEqual(closes, stop.closes_at - stop.started_at)
+        self.assertAlmostEqual(ends, stop.ends_at - stop.started_at)
+        self.assertFalse(stop.is_closed)
+        self.assertAlmostEqual(ends, stop.seconds_left, delta=0.2)
         # A running request is entitled to five sixths of the grace period.
         self.assertGreater(ends, grace * 5 / 6)
 
     def test_closed_at_once(self):
-        self.assertTrue(StopSchedule.begin(0).closed)
+        self.assertTrue(StopSchedule.start(0).is_closed)
 
 
 if __name__ == '__main__':
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -14,7 +14,7 @@
 from bendlead_gateway._fleet.health import EngineHealth
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peer import Peer
-from bendlead_gateway._suspension import SuspensionWatch
+from bendlead_gateway._suspension import SuspensionDetector
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
 from bendlead_store import clock
 from parameterized import parameterized
@@ -69,11 +69,11 @@
             self.assertFalse(fresh())
 
     def test_look_tells_the_sleep_once(self):
-        watch = SuspensionWatch()
-        self.assertEqual(0, watch.look())
+        watch = SuspensionDetector()
+        self.assertEqual(0, watch.poll())
         with asleep():
-            self.assertAlmostEqual(_SLEPT, watch.look(), 1)
-            self.assertEqual(0, watch.look())
+            self.assertAlmostEqual(_SLEPT, watch.poll(), 1)
+            self.assertEqual(0, watch.poll())
 
     def test_product_reads_one_clock(self):
         """No age or deadline is measured by the clock that leaves it out."""
