--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -135,12 +135,12 @@
         """Return the state dump, with the usage of teams."""
         return {**super().state(), 'teams': self._team_usage()}
 
-    def hear_report(self, report: NodeReport) -> None:
+    def receive_report(self, report: NodeReport) -> None:
         """Handle a report of a peer, with any team levels it carries."""
-        super().hear_report(report)
+        super().receive_report(report)
         self.limits.adopt_levels(report.levels)
 
-    def hear_teams(
+    def receive_team_counts(
         self,
         node: NodeName,
         counts: TeamCounts,
@@ -155,7 +155,7 @@
         """Return the current level of each team's rate limit, in requests."""
         return dict(self.limits.levels())
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Shut down gracefully and set ``done``.
 
         Serves clients until the platform has removed this node from service,
@@ -237,14 +237,14 @@
         ready = (
             request.path == self.dialect.ready_path
             and self.fleet.configuration.known is not None
-            and not self.leaving
+            and not self.draining
         )
         responder.answer(
             HTTPStatus.OK if ready else HTTPStatus.SERVICE_UNAVAILABLE
         )
 
     def _answer_client(self, request: Request, responder: Responder) -> None:
-        if self.leaving or self._sheds_connections:
+        if self.draining or self._sheds_connections:
             responder.close_after()
         if self._stop and self._stop.is_closed:
             self._reject_late(request, responder, self._stop)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -77,7 +77,7 @@
         self._pace_updates = PaceUpdates(
             self.fleet.engines, self.fleet.pace, self.log
         )
-        self.leaving = False
+        self.draining = False
         self._stop_requested = False
         self._reloader: Reloader | None = None
         self.done = Event()
@@ -92,8 +92,8 @@
             self.fleet.loads,
             self.log,
             self.report,
-            self.hear_report,
-            self.hear_teams,
+            self.receive_report,
+            self.receive_team_counts,
             self.team_levels,
         )
         self.store.route.peers = self.peers.processes.reaching_store
@@ -145,7 +145,7 @@
         """Start the tasks of the role."""
         raise NotImplementedError
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Shut down gracefully, then set ``done``; called in its own task."""
         raise NotImplementedError
 
@@ -153,7 +153,7 @@
         """Answer a call of a peer that is handled by the role."""
         responder.answer(HTTPStatus.NOT_FOUND)
 
-    def hear_report(self, report: NodeReport) -> None:
+    def receive_report(self, report: NodeReport) -> None:
         """Handle a report of a peer."""
         self.fleet.notice(report)
         self._pace_updates.receive(report)
@@ -163,7 +163,7 @@
                 record, report.configuration
             )
 
-    def hear_teams(
+    def receive_team_counts(
         self,
         node: NodeName,
         counts: TeamCounts,
@@ -182,7 +182,7 @@
         return NodeReport(
             node=self.settings.node,
             sound=True,
-            leaving=self.leaving,
+            leaving=self.draining,
             heard=self.peers.claims.heard(),
             online={name: count for name, count in own.online.items() if count},
             batch={name: count for name, count in own.batch.items() if count},
@@ -201,7 +201,7 @@
         known = self.fleet.configuration.known
         return {
             'node': self.settings.node,
-            'leaving': self.leaving,
+            'leaving': self.draining,
             'configuration': known.version if known else None,
             'engines': {
                 engine.engine: engine.state.value
@@ -272,9 +272,9 @@
         if self._stop_requested:
             return
         self._stop_requested = True
-        self.leaving = True
+        self.draining = True
         self.log.event('leaving', busy=self.internal.busy)
-        gevent.spawn(self.leave)
+        gevent.spawn(self.shut_down)
 
     def _on_hup(self) -> None:
         gevent.spawn(self._reload, requested=True)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -79,7 +79,7 @@
 
     def retire(self) -> None:
         """Take over no more shards, and report so to peers."""
-        self.leaving = True
+        self.draining = True
 
     def report(self) -> NodeReport:
         """Return the report to peers, with the shards owned here."""
@@ -101,7 +101,7 @@
         finally:
             self._open_calls -= 1
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Hand over the shards, wait for open calls and set ``done``."""
         self._keeper.leave(_DRAIN_SECONDS)
         self.finish_calls()
--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -21,8 +21,8 @@
         self.configure()
         owner = self.holding()
         read = self._start_read(owner)
-        owner.leaving = True
-        owner.leave()
+        owner.draining = True
+        owner.shut_down()
         self.assertEqual(0, owner.internal.busy)
         self.assertEqual(200, read.read_head(1).status)
 
@@ -69,8 +69,8 @@
         with mock.patch.object(shard_manager, 'take_over_shard', open_late):
             owner = self.owner()
             self.assertTrue(opened.wait(3))
-            owner.leaving = True
-            owner.leave()
+            owner.draining = True
+            owner.shut_down()
             resumed.set()
             gevent.sleep(0.3)
         self.assertEqual({}, owner._keeper.epochs())
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -357,8 +357,8 @@
         self.report(2)
         eventually(lambda: not self.node._runner.running)
         second = self.owner('owner-2')
-        self.node.leaving = True
-        self.node.leave()
+        self.node.draining = True
+        self.node.shut_down()
         eventually(lambda: second._runner.running, 5)
 
 
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -137,8 +137,8 @@
         self.assertIn('event=left node=entry-1 cut=0', self._line('left'))
 
     def _leave(self):
-        self.entry.leaving = True
-        return gevent.spawn(self.entry.leave)
+        self.entry.draining = True
+        return gevent.spawn(self.entry.shut_down)
 
     def _line(self, kind):
         lines = self.entry.log.recent
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -354,7 +354,7 @@
             streams=3,
             gap_us=round(gap * 1e6),
         )
-        self.entry.hear_report(
+        self.entry.receive_report(
             NodeReport(node='entry-9', sound=True, leaving=False, paces=[told])
         )
 
@@ -378,7 +378,7 @@
             {'node': 'entry-9', 'sound': True, 'leaving': False}
         )
         older = msgspec.json.decode(report, type=NodeReport)
-        self.entry.hear_report(older)
+        self.entry.receive_report(older)
         self.assertEqual({}, self.entry.state()['paces'])
 
 
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -67,8 +67,8 @@
             order = {'duration_s': 5}
             self.store.set('retirements', 'owner-1', order)
         else:
-            first.leaving = True
-            gevent.spawn(first.leave)
+            first.draining = True
+            gevent.spawn(first.shut_down)
         eventually(lambda: len(second._keeper.owned) == 4, 4)
         self.assert_resumes(second)
 
@@ -77,7 +77,7 @@
         first = self.holding()
         second = self.owner('owner-2')
         eventually(second.peers.claims.able_owners)
-        first.leaving = True
+        first.draining = True
         owned = dict(first._keeper.owned)
         shard = owned.pop(node_shard())
 
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -214,7 +214,7 @@
         self.assertEqual(503, self._ready())
         self.store.set('config', 'main', configuration(1, route('safe')))
         eventually(lambda: self._ready() == 200)
-        self.entry.leaving = True
+        self.entry.draining = True
         self.assertEqual(503, self._ready())
 
     def _silence_watches(self):
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -115,8 +115,8 @@
 
     def test_leaving_owner_hands_over_immediately(self):
         first, second = self.two_owners()
-        first.leaving = True
-        gevent.spawn(first.leave)
+        first.draining = True
+        gevent.spawn(first.shut_down)
         eventually(lambda: len(second._keeper.owned) == 4, 3)
         self.assertEqual(202, self.submit(second))
         self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -326,8 +326,8 @@
         self.begin()
         self.assertEqual(202, self.submit_as('team-1'))
         second = self.owner('owner-2')
-        self.node.leaving = True
-        self.node.leave()
+        self.node.draining = True
+        self.node.shut_down()
         eventually(lambda: len(second._keeper.owned) == 4)
         self.node = second
         read = '/-/lots/j1?watch_after=0'
