--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -65,7 +65,7 @@
         super().__init__(settings, store, dialect)
         team_named = self.fleet.configuration.team_named
         self.shares = TeamShares(team_named)
-        self.room = RequestQueue(
+        self.request_queue = RequestQueue(
             self.fleet.balancer.wait, self.shares, team_named, self.metrics
         )
         self._online = OnlinePath(
@@ -74,7 +74,7 @@
             self.log,
             self.metrics,
             self.shares,
-            self.room,
+            self.request_queue,
         )
         self._relay = JobRelay(self.peers, dialect, self.log)
         self.limits = TeamLimits(
@@ -188,7 +188,7 @@
         """Return usage of limits and shares and queued requests by team."""
         teams = {name: dict(used) for name, used in self.limits.usage().items()}
         unlimited = {'rate': 0.0, 'burst': 0.0, 'level': 0.0, 'passed_here': 0}
-        waiting = self.room.waiting
+        waiting = self.request_queue.waiting
         for name, shares in self.shares.summary().items():
             team = teams.setdefault(name, dict(unlimited))
             team.update(shares)
--- a/packages/bendlead-gateway/src/bendlead_gateway/numbers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/numbers.py
@@ -3,7 +3,7 @@
 import math
 
 
-def read_number(text: str | None) -> float | None:
+def parse_number(text: str | None) -> float | None:
     """Return a finite number, or None if the text is not one."""
     try:
         number = float(text or '')
@@ -12,9 +12,9 @@
     return number if math.isfinite(number) else None
 
 
-def read_seconds(text: str | None, default: float, longest: float) -> float:
-    """Return a duration up to ``longest``; the default if it is invalid."""
-    seconds = read_number(text)
+def parse_seconds(text: str | None, default: float, maximum: float) -> float:
+    """Return a duration up to ``maximum``; the default if it is invalid."""
+    seconds = parse_number(text)
     if seconds is None or seconds < 0:
         return default
-    return min(seconds, longest)
+    return min(seconds, maximum)
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -176,7 +176,7 @@
         # A first attempt sets the usual timeout of clients.
         self.read(self.ask())
         for _slot in range(20):
-            self.entry.room.finished('s1')
+            self.entry.request_queue.finished('s1')
 
     def free(self):
         """Free the slots of the engine."""
@@ -184,7 +184,7 @@
 
     def waiting(self):
         """Count the queued requests."""
-        return sum(self.entry.room.waiting.values())
+        return sum(self.entry.request_queue.waiting.values())
 
     @parameterized.expand(
         [
