--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -16,7 +16,7 @@
 
 from tests.gateway_standins import (
     ScriptedPeer,
-    Tasks,
+    TaskTracker,
     chunked,
     configuration,
     engine,
@@ -34,7 +34,7 @@
     """Starts an object service, scripted engines and an entry."""
 
     def setUp(self):
-        self.addCleanup(Tasks().end)
+        self.addCleanup(TaskTracker().end)
         self.store = PlatformStandIn(f'127.0.0.1:{free_port()}')
         self.store.start()
         self.engines = []
@@ -108,7 +108,7 @@
     """Starts an object service, one scripted engine and owners."""
 
     def setUp(self):
-        self.addCleanup(Tasks().end)
+        self.addCleanup(TaskTracker().end)
         self.store = PlatformStandIn(f'127.0.0.1:{free_port()}')
         self.store.start()
 
--- a/tests/gateway_standins.py
+++ b/tests/gateway_standins.py
@@ -73,10 +73,10 @@
             sock.close()
 
 
-class Tasks:
+class TaskTracker:
     """Ends all tasks started since it was made, those of nodes included.
 
-    Tasks that outlive their test would slow down the tests after it.
+    TaskTracker that outlive their test would slow down the tests after it.
     """
 
     def __init__(self) -> None:
@@ -106,7 +106,7 @@
         return [task for task in self._started if not task.dead]
 
 
-class ProcessLife(Tasks):
+class SimulatedProcess(TaskTracker):
     """Simulates a killed process: ends the tasks of one node only.
 
     Engines and the object service of the test run in the same process.
@@ -222,7 +222,7 @@
         self.sock.close()
 
 
-class SilentLink:
+class StallingProxy:
     """TCP proxy whose open connections can be made to stall.
 
     Stalled connections stay open and acknowledge data, so neither keep-alive
@@ -240,7 +240,7 @@
         self._pumps: list[gevent.Greenlet] = []
         self._task = gevent.spawn(self._accept)
 
-    def silence(self) -> None:
+    def stall(self) -> None:
         """Forward no more data on the connections that are open now."""
         gevent.killall(self._pumps)
         self._pumps.clear()
@@ -248,7 +248,7 @@
     def close(self) -> None:
         """Close all connections and stop accepting."""
         self._task.kill()
-        self.silence()
+        self.stall()
         for end in (self._sock, *self._ends):
             end.close()
 
@@ -273,7 +273,7 @@
             sink.close()
 
 
-class MortalEngine:
+class CrashingEngine:
     """Engine that crashes on requests whose body contains a marker.
 
     It sends the response head first, as a running engine does. After the crash
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -19,9 +19,9 @@
 from parameterized import parameterized
 
 from tests.gateway_standins import (
-    MortalEngine,
-    ProcessLife,
-    Tasks,
+    CrashingEngine,
+    SimulatedProcess,
+    TaskTracker,
     configuration,
     engine,
     eventually,
@@ -39,7 +39,7 @@
     """Start a store, engines that can crash, and entries."""
 
     def setUp(self):
-        self.addCleanup(Tasks().end)
+        self.addCleanup(TaskTracker().end)
         self.store = PlatformStandIn(f'127.0.0.1:{free_port()}')
         self.store.start()
         self.engines = []
@@ -53,7 +53,7 @@
 
     def add_engine(self, runs_seconds=0.02):
         """Add one more engine."""
-        started = MortalEngine(_CRASHING_BODY, runs_seconds)
+        started = CrashingEngine(_CRASHING_BODY, runs_seconds)
         self.addCleanup(started.close)
         name = f'i-{len(self.engines)}'
         self.engines.append(started)
@@ -206,7 +206,7 @@
     def test_after_all_entries_were_restarted(self):
         self.configure(route('streaming'))
         for number in range(3):
-            life = ProcessLife()
+            life = SimulatedProcess()
             entry = life.start(partial(self.entry, number))
             self.repeat(entry, 4)
             life.end()
@@ -342,7 +342,7 @@
         """Single crashes are not stored, so peers must report them again."""
         self.configure(route('streaming'))
         first = self.entry(1)
-        life = ProcessLife()
+        life = SimulatedProcess()
         life.start(partial(self.entry, 2))
         self.ask(first)
         gevent.sleep(0.3)
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -17,7 +17,7 @@
 from parameterized import parameterized
 
 from tests.gateway_cases import OwnerCase, job, node_shard
-from tests.gateway_standins import ProcessLife, chunked, event, eventually
+from tests.gateway_standins import SimulatedProcess, chunked, event, eventually
 
 _INCOMPLETE = chunked(event(1, 'a'), event(2, 'b'), last=False)
 _REMAINDER = chunked(event(3, 'c'))
@@ -275,7 +275,7 @@
     def test_failures_under_two_owners(self):
         failed = b'HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n'
         self.configure([failed, failed])
-        process = ProcessLife()
+        process = SimulatedProcess()
         first = process.start(self.holding)
         self.submit(first)
         eventually(lambda: len(self.engine.requests) == 3)
--- a/tests/test_gateway_rest.py
+++ b/tests/test_gateway_rest.py
@@ -14,7 +14,7 @@
 from parameterized import parameterized
 
 from tests.gateway_standins import (
-    Tasks,
+    TaskTracker,
     configuration,
     eventually,
     route,
@@ -28,7 +28,7 @@
     """Two entries, of which the first is the client."""
 
     def setUp(self):
-        self.addCleanup(Tasks().end)
+        self.addCleanup(TaskTracker().end)
         self.store = PlatformStandIn(f'127.0.0.1:{free_port()}')
         self.store.start()
         self.store.set('config', 'main', configuration(1, route('safe')))
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -30,7 +30,7 @@
 from tests.gateway_cases import EntryCase, OwnerCase
 from tests.gateway_standins import (
     ScriptedPeer,
-    SilentLink,
+    StallingProxy,
     configuration,
     engine,
     eventually,
@@ -60,7 +60,7 @@
         self.service = PlatformStandIn(f'127.0.0.1:{free_port()}')
         self.service.start()
         self.service.set('things', 'a', {'n': 1})
-        self.link = SilentLink(self.service.address)
+        self.link = StallingProxy(self.service.address)
         self.addCleanup(self.link.close)
         self.store = PlatformStore(self.link.address)
 
@@ -70,7 +70,7 @@
             gevent.spawn(self.store.fetch, 'things/a') for _call in range(4)
         ]
         gevent.joinall(calls)
-        self.link.silence()
+        self.link.stall()
         began = time.monotonic()
         while not isinstance(self.store.fetch('things/a'), Ok):
             self.assertLess(time.monotonic() - began, 10)
@@ -82,7 +82,7 @@
 
     @parameterized.expand([('idle', 0.0), ('soon_after_a_call', 0.9)])
     def test_configuration_is_seen(self, _name, rest):
-        link = SilentLink(self.store.address)
+        link = StallingProxy(self.store.address)
         self.addCleanup(link.close)
         self.configure()
         service, self.store.address = self.store, link.address
@@ -94,7 +94,7 @@
         eventually(lambda: entry.fleet.config_watch.holding)
         eventually(lambda: entry.peers.claims.able_owners(), 5)
         gevent.sleep(1 + rest)
-        link.silence()
+        link.stall()
         began = time.monotonic()
         service.set('config', 'main', configuration(2, route('batch')))
         holder = entry.fleet.configuration
@@ -114,7 +114,7 @@
         )
         server.start()
         self.addCleanup(server.stop_accepting)
-        self.link = SilentLink(address)
+        self.link = StallingProxy(address)
         self.addCleanup(self.link.close)
         dialect = PlatformDialect()
         own = self.record('a', '127.0.0.1:1')
@@ -163,7 +163,7 @@
         ):
             for _repeat in range(3):
                 gevent.sleep(0.1)
-                self.link.silence()
+                self.link.stall()
                 oldest = 0
                 began = time.monotonic()
                 while time.monotonic() - began < 3:
@@ -188,7 +188,7 @@
         for number, peer in enumerate(peers):
             self.addCleanup(peer.close)
             self.engines.append(peer)
-            link = SilentLink(peer.address)
+            link = StallingProxy(peer.address)
             self.addCleanup(link.close)
             self.links.append(link)
             told = engine(link.address)
@@ -219,7 +219,7 @@
         aim = round(_AIM_SECONDS * 1000)
         self.begin(kind, target_latency_ms=aim, timeout_ms=5000, **changed)
         for link in self.links:
-            link.silence()
+            link.stall()
         status, seconds = self.timed(patience=5000)
         self.assertEqual(200, status)
         self.assertLess(seconds, _AIM_SECONDS)
@@ -241,7 +241,7 @@
             self.entry.fleet.loads.own.online[name] += 8
         before = sum(link.opened for link in self.links)
         for link in self.links:
-            link.silence()
+            link.stall()
         status, seconds = self.timed()
         self.assertEqual(504, status)
         self.assertGreater(seconds, 0.6)
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -14,7 +14,7 @@
 
 from tests.gateway_cases import OwnerCase, job, node_shard
 from tests.gateway_standins import (
-    Tasks,
+    TaskTracker,
     chunked,
     event,
     eventually,
@@ -123,7 +123,7 @@
 
     def run_first_owner(self):
         """Run an owner until it has all shards, then end all its tasks."""
-        tasks = Tasks()
+        tasks = TaskTracker()
         self.holding('owner-1')
         tasks.end()
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -12,7 +12,7 @@
 from parameterized import parameterized
 from result import Err, Ok
 
-from tests.gateway_standins import Tasks
+from tests.gateway_standins import TaskTracker
 
 _NODES = 100
 
@@ -64,7 +64,7 @@
     """
 
     def setUp(self) -> None:
-        self._tasks = Tasks()
+        self._tasks = TaskTracker()
         self.addCleanup(self._tasks.end)
         self._began = time.process_time()
 
