--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -60,19 +60,19 @@
             )
         )
 
-    def hold(self):
+    def wait_for_watch(self):
         """Wait until the object service holds the configuration watch."""
         eventually(lambda: self.entry.fleet.config_watch.holding)
         gevent.sleep(0.1)
 
-    def ask(self, path='/x/1', patience=2000, extra=()):
+    def send_request(self, path='/x/1', timeout_ms=2000, extra=()):
         """Send one request and return the connection."""
         connection = HttpConnection(self.entry.settings.clients_address, 1)
         self.addCleanup(connection.close)
         headers = [
             ('Host', 'a.example'),
             ('X-Attempt-Id', 'id1'),
-            ('X-Deadline-Ms', str(patience)),
+            ('X-Deadline-Ms', str(timeout_ms)),
             *extra,
         ]
         connection.send('POST', path, headers, b'prompt', 1)
@@ -83,7 +83,7 @@
         head = connection.read_head(3)
         return head, b''.join(connection.read_parts(head, 3))
 
-    def sent(self):
+    def count_engine_requests(self):
         """Return the number of requests that reached engines."""
         return sum(len(peer.requests) for peer in self.engines)
 
@@ -136,7 +136,7 @@
         registration = engine(self.engine.address)
         self.store.set('servers', 'i-1', registration)
 
-    def owner(self, name='owner-1'):
+    def start_owner(self, name='owner-1'):
         """Start an owner."""
         own = settings(name, NodeRole.OWNER, self.store.address)
         store = PlatformStore(own.store_address)
@@ -144,18 +144,18 @@
         node.serve()
         return node
 
-    def holding(self, name='owner-1'):
+    def start_sole_owner(self, name='owner-1'):
         """Start an owner and wait until it owns all shards."""
-        node = self.owner(name)
+        node = self.start_owner(name)
         eventually(lambda: len(node._keeper.owned) == 4)
         return node
 
-    def two_owners(self):
+    def start_two_owners(self):
         """Start an owner with a job, and another that could take it over."""
         self.configure()
-        first = self.holding()
+        first = self.start_sole_owner()
         self.submit(first)
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.able_owners)
         return first, second
 
--- a/tests/gateway_standins.py
+++ b/tests/gateway_standins.py
@@ -76,7 +76,7 @@
 class TaskTracker:
     """Ends all tasks started since it was made, those of nodes included.
 
-    TaskTracker that outlive their test would slow down the tests after it.
+    Tasks that outlive their test would slow down the tests after it.
     """
 
     def __init__(self) -> None:
--- a/tests/test_gateway_bad_input.py
+++ b/tests/test_gateway_bad_input.py
@@ -27,7 +27,7 @@
         listed = len(answers) + 1
         eventually(lambda: len(self.entry.fleet.engines.all()) == listed)
         for _request in range(2):
-            head, _body = self.read(self.ask())
+            head, _body = self.read(self.send_request())
             self.assertEqual(status, head.status)
             if status == 503:
                 self.assertTrue(head.find('retry-after'))
@@ -45,11 +45,11 @@
     def test_client_timeout(self, _name, patience, status):
         """An invalid timeout is replaced by that of the route."""
         self.start(route('safe'), answers=[PLAIN, PLAIN])
-        head, _body = self.read(self.ask(patience=patience))
+        head, _body = self.read(self.send_request(timeout_ms=patience))
         self.assertEqual(status, head.status)
         if status == 503:
             self.assertTrue(head.find('retry-after'))
-            self.assertEqual(0, self.sent())
+            self.assertEqual(0, self.count_engine_requests())
 
     def test_reported_load_of_an_unknown_engine(self):
         """Loads that a peer reports for it leave other engines unchanged."""
@@ -57,7 +57,7 @@
         loads = self.entry.fleet.loads
         counts = {EngineId('i-gone'): 500}
         loads.report(NodeName('peer'), counts, counts)
-        head, _body = self.read(self.ask())
+        head, _body = self.read(self.send_request())
         self.assertEqual(200, head.status)
         views = self.entry.fleet.balancer.views('s1')
         self.assertEqual({'i-0', 'i-1'}, {view.name for view in views})
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -371,7 +371,7 @@
     def ask_all(self, count):
         """Send requests in sequence and return their statuses."""
         return [
-            self.read(self.ask(f'/x/{uuid4()}'))[0].status
+            self.read(self.send_request(f'/x/{uuid4()}'))[0].status
             for _at in range(count)
         ]
 
@@ -437,7 +437,7 @@
         good = FailingEngine(failing=False)
         self.addCleanup(good.close)
         self.store.set('servers', 'i-2', engine(good.address))
-        owner = self.owner()
+        owner = self.start_owner()
         eventually(lambda: len(owner._keeper.owned) == 4)
         eventually(lambda: len(owner.fleet.engines.all()) == 2)
         listed = owner.fleet.engines.named(EngineId('i-1'))
--- a/tests/test_gateway_entry.py
+++ b/tests/test_gateway_entry.py
@@ -116,10 +116,10 @@
         if name.startswith('resumed'):
             # The engine that breaks off must be asked first.
             self.entry.fleet.loads.own.online['i-1'] += 3
-        head, got = self.read(self.ask())
+        head, got = self.read(self.send_request())
         self.assertEqual((status, body), (head.status, got))
         if sends is not None:
-            self.assertEqual(sends, self.sent())
+            self.assertEqual(sends, self.count_engine_requests())
         if status == 503:
             self.assertGreater(float(head.find('retry-after')), 0)
         if status == 200:
@@ -128,26 +128,26 @@
     def test_few_descriptors(self):
         """Requests are served with fewer descriptors than the usual reserve."""
         self.start(route('safe'), answers=[_PLAIN], descriptors=400)
-        head, _body = self.read(self.ask())
+        head, _body = self.read(self.send_request())
         self.assertEqual(200, head.status)
 
     def test_resume_asks_behind_the_last_event(self):
         changed = route('streaming', resumable=True)
         self.start(changed, answers=[_CUT, _TAIL])
         self.entry.fleet.loads.own.online['i-1'] += 3
-        self.read(self.ask())
+        self.read(self.send_request())
         self.assertIn(b'Last-Event-Id: 1', self.engines[1].requests[0])
         self.assertIn(b'X-Expect-Instance: i-1', self.engines[1].requests[0])
 
     def test_broken_stream_does_not_look_complete(self):
         self.start(route('streaming'), answers=[_CUT])
         with self.assertRaises(ResponseError):
-            self.read(self.ask())
+            self.read(self.send_request())
 
     @parameterized.expand([('route', 300, 5000), ('client', 5000, 300)])
     def test_deadline_passes_at_the_engine(self, _name, timeout, patience):
         self.start(route('unsafe', timeout_ms=timeout), answers=[None])
-        head, _body = self.read(self.ask(patience=patience))
+        head, _body = self.read(self.send_request(timeout_ms=patience))
         self.assertEqual(504, head.status)
         left = self.engines[0].requests[0].split(b'X-Deadline-Ms: ')[1]
         self.assertLessEqual(int(left.split(b'\r\n')[0]), 300)
@@ -164,7 +164,7 @@
         self.addCleanup(peer.close)
         self.store.set('servers', 'i-0', engine(peer.address))
         self.start(route('streaming'), others=1)
-        connection = self.ask()
+        connection = self.send_request()
         connection.read_head(1)
         connection.close()
         eventually(lambda: gone, 0.4)
@@ -186,7 +186,7 @@
     def test_another_engine_is_asked_in_time(self):
         self.begin([_PLAIN])
         began = time.monotonic()
-        head, _body = self.read(self.ask())
+        head, _body = self.read(self.send_request())
         self.assertEqual(200, head.status)
         self.assertLess(time.monotonic() - began, 0.3)
 
@@ -196,7 +196,7 @@
     def test_deadline_passes_while_connecting(self, _name, patience, status):
         """A request that no engine got is reported as not run."""
         self.begin([])
-        head, _body = self.read(self.ask(patience=patience))
+        head, _body = self.read(self.send_request(timeout_ms=patience))
         self.assertEqual(status, head.status)
 
 
@@ -216,16 +216,16 @@
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
         self.entry.fleet.pace.run_seconds = 0.5
         # The first request sets the timeout that the entry expects.
-        self.read(self.ask(patience=2000))
-        before = self.sent()
+        self.read(self.send_request(timeout_ms=2000))
+        before = self.count_engine_requests()
         self.entry.fleet.pace.run_seconds = 0.5
         for name in ('i-0', 'i-1'):
             self.entry.fleet.loads.own.online[name] += online
-        head, _body = self.read(self.ask(patience=patience))
+        head, _body = self.read(self.send_request(timeout_ms=patience))
         self.assertEqual(status, head.status)
         if status == 503:
             self.assertGreater(float(head.find('retry-after')), 0.2)
-            self.assertEqual(before, self.sent())
+            self.assertEqual(before, self.count_engine_requests())
 
     @parameterized.expand(
         [
@@ -242,7 +242,7 @@
         self.entry.fleet.loads.own.online['i-0'] = 14
         with mock.patch.object(random, 'random') as draw:
             draw.return_value = random_value
-            head, _body = self.read(self.ask(patience=patience))
+            head, _body = self.read(self.send_request(timeout_ms=patience))
         self.assertEqual(503, head.status)
         retry_after = float(head.find('retry-after'))
         self.assertAlmostEqual(expected, retry_after, delta=0.1)
--- a/tests/test_gateway_evidence.py
+++ b/tests/test_gateway_evidence.py
@@ -291,7 +291,7 @@
         )
         second.serve()
         eventually(lambda: second.fleet.engines.all())
-        self.read(self.ask())
+        self.read(self.send_request())
         found = eventually(second.fleet.shared_health.summary)
         witnesses = [record.witness for record in found['i-0']['evidence']]
         self.assertEqual(['entry-1'], witnesses)
--- a/tests/test_gateway_gone.py
+++ b/tests/test_gateway_gone.py
@@ -86,7 +86,7 @@
         gevent.sleep(_STOP_SECONDS)
         self.assertEqual([b''], self.ended)
         # The request that was pipelined after it is not sent either.
-        self.assertEqual(1, self.sent())
+        self.assertEqual(1, self.count_engine_requests())
 
     def test_client_that_reads_nothing(self):
         """The engine is stopped although the response fills all buffers."""
@@ -115,7 +115,7 @@
         client.sendall(_FIRST)
         client.close()
         gevent.sleep(_STOP_SECONDS)
-        self.assertEqual(0, self.sent())
+        self.assertEqual(0, self.count_engine_requests())
 
     def test_closed_while_connecting(self):
         """No request is sent once the engine accepts the connection."""
--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -19,7 +19,7 @@
     def test_leaving_owner(self):
         """A process must answer all requests before it exits."""
         self.configure()
-        owner = self.holding()
+        owner = self.start_sole_owner()
         read = self._start_read(owner)
         owner.draining = True
         owner.shut_down()
@@ -29,8 +29,8 @@
     def test_retiring_owner(self):
         """A node may be removed as soon as it reports completion."""
         self.configure()
-        first = self.holding()
-        second = self.owner('owner-2')
+        first = self.start_sole_owner()
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.able_owners)
         eventually(first.peers.claims.able_owners)
         read = self._start_read(first)
@@ -67,7 +67,7 @@
 
         take_over_shard = shard_manager.take_over_shard
         with mock.patch.object(shard_manager, 'take_over_shard', open_late):
-            owner = self.owner()
+            owner = self.start_owner()
             self.assertTrue(opened.wait(3))
             owner.draining = True
             owner.shut_down()
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -133,7 +133,7 @@
 
     def test_items_are_retried_there(self):
         self.configure(answers=[_ERROR, _ERROR, _COMPLETE])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.assertEqual(202, self.submit(node))
         found = eventually(lambda: self.results(node), 5)
         self.assertEqual('completed', found[0]['state'])
@@ -212,7 +212,7 @@
     @parameterized.expand(['stalls', 'drains'])
     def test_run_resumes_after_its_last_event(self, way):
         self.configure([_BEGUN])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.submit(node)
         eventually(lambda: len(self.engine.requests) == 1)
         gevent.sleep(0.1)
@@ -298,7 +298,7 @@
         self.configure(run_target_ms=run_target_ms)
         made = configuration(2, batch, online)
         self.store.set('config', 'main', made)
-        self.node = self.holding()
+        self.node = self.start_sole_owner()
         fleet = self.node.fleet
         eventually(lambda: fleet.configuration.version == 2)
         fleet.loads.own.online['i-1'] += _SLOTS // 2
@@ -356,7 +356,7 @@
         self.report(1)
         self.report(2)
         eventually(lambda: not self.node._runner.running)
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         self.node.draining = True
         self.node.shut_down()
         eventually(lambda: second._runner.running, 5)
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -59,14 +59,14 @@
     )
     def test_outcome(self, _name, answers, state, text):
         self.configure(answers)
-        node = self.holding()
+        node = self.start_sole_owner()
         self.assertEqual(202, self.submit(node))
         found = eventually(lambda: self.results(node), 5)
         self.assertEqual((state, text), (found[0]['state'], found[0]['text']))
 
     def test_preempted_item_resumes_after_its_last_event(self):
         self.configure([TRUNCATED, _TAIL])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.submit(node)
         eventually(lambda: len(self.engine.requests) == 1)
         gevent.sleep(0.1)
@@ -82,7 +82,7 @@
         texts = [noise.randbytes(150_000).hex() for _item in range(5)]
         answers = [chunked(event(1, text)) for text in texts]
         self.configure(answers)
-        node = self.holding()
+        node = self.start_sole_owner()
         self.submit(node, job(items=5))
         eventually(lambda: len(self.results(node)) >= 3, 6)
         response = self.call(node, 'GET', '/-/lots/j1?watch_after=4')
@@ -90,7 +90,7 @@
 
     def test_job_larger_than_a_stored_value(self):
         self.configure([_COMPLETE] * 3)
-        node = self.holding()
+        node = self.start_sole_owner()
         large = job(items=3, size=600_000)
         self.assertEqual(202, self.submit(node, large))
         eventually(lambda: len(self.results(node)) == 3)
@@ -101,7 +101,7 @@
 
     def test_job_submitted_twice(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.assertEqual(
             [202, 202], [self.submit(node) for _attempt in range(2)]
         )
@@ -110,7 +110,7 @@
     @parameterized.expand([('fits', 30, 202), ('exceeded', 29, 429)])
     def test_quota(self, _name, limit, status):
         self.configure(max_queued_tokens=limit)
-        node = self.holding()
+        node = self.start_sole_owner()
         self.assertEqual(status, self.submit(node, job(items=3)))
 
     @parameterized.expand(
@@ -122,7 +122,7 @@
     )
     def test_unknown_job(self, _name, method, target):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.assertEqual(404, self.call(node, method, target).head.status)
         gevent.sleep(0.8)
         self.store.trouble = Trouble.AWAY
@@ -130,7 +130,7 @@
 
     def test_body_until_job_ends(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.submit(node)
         body = self.call(node, 'GET', '/-/items/j1?id=i0')
         self.assertEqual(b'pppppp', body.body)
@@ -142,7 +142,7 @@
 
     def test_store_unavailable(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.store.trouble = Trouble.AWAY
         self.assertIn(self.submit(node), {503, 504})
         self.store.trouble = Trouble.NONE
@@ -156,7 +156,7 @@
     )
     def test_write_with_unknown_outcome(self, _name, trouble):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.store.trouble = trouble
         self.assertEqual(504, self.submit(node))
         self.store.trouble = Trouble.NONE
--- a/tests/test_gateway_leaving.py
+++ b/tests/test_gateway_leaving.py
@@ -54,7 +54,7 @@
     def test_new_connection(self, _name, waited, served):
         """A request that could not end within the grace time is refused."""
         self.start(route('streaming', timeout_ms=5000), answers=[_slow_first])
-        running = self.ask(patience=5000)
+        running = self.send_request(timeout_ms=5000)
         eventually(lambda: self.engines[0].requests)
         leave = self._leave()
         gevent.sleep(waited)
@@ -69,7 +69,7 @@
     def test_kept_connection(self):
         """A late request on a busy connection is refused as well."""
         self.start(route('streaming', timeout_ms=5000), answers=[_slow_first])
-        running = self.ask(patience=5000)
+        running = self.send_request(timeout_ms=5000)
         eventually(lambda: self.engines[0].requests)
         self._leave()
         gevent.sleep(_LATE_SECONDS)
@@ -78,7 +78,7 @@
         self.assertEqual(200, head.status)
         running.skip_response(head, 3)
         self.assertEqual(503, running.read_head(1).status)
-        self.assertEqual(1, self.sent())
+        self.assertEqual(1, self.count_engine_requests())
 
     def test_answer_that_begins_after_the_stop(self):
         """The response tells the client that its connection is closed."""
@@ -90,7 +90,7 @@
             gevent.sleep(1)
 
         self.start(route('safe', timeout_ms=5000), answers=[answer])
-        running = self.ask(patience=5000)
+        running = self.send_request(timeout_ms=5000)
         eventually(lambda: self.engines[0].requests)
         self._leave()
         gevent.sleep(0)
@@ -111,12 +111,12 @@
         client.sendall(b'mpt')
         client.settimeout(1)
         self.assertIn(b' 503 ', client.recv(4096))
-        self.assertEqual(0, self.sent())
+        self.assertEqual(0, self.count_engine_requests())
 
     def test_unanswered_request_at_the_end(self):
         """A request that is still running at the end gets status 504."""
         self.start(route('safe', timeout_ms=8000), answers=[None])
-        running = self.ask(patience=8000)
+        running = self.send_request(timeout_ms=8000)
         eventually(lambda: self.engines[0].requests)
         leave = self._leave()
         self.assertEqual(504, running.read_head(4).status)
@@ -128,7 +128,7 @@
         self.start(route('streaming', timeout_ms=5000), answers=[_slow_first])
         grace = _RUNS_SECONDS + _SPARE_SECONDS
         self.entry.settings = replace(self.entry.settings, grace=grace)
-        running = self.ask(patience=5000)
+        running = self.send_request(timeout_ms=5000)
         eventually(lambda: self.engines[0].requests)
         leave = self._leave()
         _head, body = self.read(running)
--- a/tests/test_gateway_odd_entries.py
+++ b/tests/test_gateway_odd_entries.py
@@ -58,12 +58,12 @@
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
         names = {one.engine for one in self.entry.fleet.engines.all()}
         self.assertEqual({'i-0', 'i-1'}, names)
-        self.assertEqual(200, self.read(self.ask())[0].status)
+        self.assertEqual(200, self.read(self.send_request())[0].status)
 
     @parameterized.expand(_ODD)
     def test_written_over_an_engine(self, _name, odd):
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
-        self.hold()
+        self.wait_for_watch()
         self.store.set('servers', 'i-0', odd)
         engines = self.entry.fleet.engines
         eventually(lambda: [one.engine for one in engines.all()] == ['i-1'])
@@ -73,7 +73,7 @@
     def test_service_that_nobody_knows(self):
         self.store.set('servers', 'a-odd', engine(_ADDRESS, service='s9'))
         self.start(route('safe'), answers=[_PLAIN], others=1)
-        self.assertEqual(200, self.read(self.ask())[0].status)
+        self.assertEqual(200, self.read(self.send_request())[0].status)
 
 
 class OddPeerTest(EntryCase):
@@ -102,7 +102,7 @@
     def begin(self, **changed):
         """Start an entry with one engine of a certain birth."""
         self.start(route('safe'), answers=[_PLAIN])
-        self.hold()
+        self.wait_for_watch()
         self.tell(**changed)
 
     def tell(self, **changed):
@@ -115,7 +115,7 @@
         """What failed, and the connections, were those of the old life."""
         self.begin(born=1000)
         fleet = self.entry.fleet
-        self.assertEqual(200, self.read(self.ask())[0].status)
+        self.assertEqual(200, self.read(self.send_request())[0].status)
         gevent.sleep(0.05)
         for _failure in range(3):
             fleet.health.failed('i-0', unreachable=True)
--- a/tests/test_gateway_overload.py
+++ b/tests/test_gateway_overload.py
@@ -171,7 +171,7 @@
             self.entry.peers, 'strained_in_hall', lambda: others
         ):
             gevent.sleep(0.3)
-            head, body = self.read(self.ask())
+            head, body = self.read(self.send_request())
         self.assertEqual(200, head.status)
         self.assertIn(b'data: a', body)
         self.assertEqual(connection, head.find('connection'))
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -333,7 +333,7 @@
     @parameterized.expand([('stream', 'streaming', 1), ('plain', 'safe', 0)])
     def test_answer(self, _name, kind, streams):
         self.start(route(kind), answers=[_slowly])
-        self.read(self.ask())
+        self.read(self.send_request())
         eventually(lambda: self.entry.metrics.requests['answered'])
         shown = self.entry.state()['paces']
         self.assertEqual(streams, len(shown))
--- a/tests/test_gateway_passed_on.py
+++ b/tests/test_gateway_passed_on.py
@@ -49,7 +49,9 @@
     def status(self):
         """Return the status of a request to the rejected entry."""
         first, self.entry = self.entry, self.other
-        head, _body = self.read(self.ask(extra=[('X-Credential', _KEY)]))
+        head, _body = self.read(
+            self.send_request(extra=[('X-Credential', _KEY)])
+        )
         self.entry = first
         return head.status
 
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -45,11 +45,11 @@
 
     def test_lost_owner(self):
         self.configure([_INCOMPLETE, _REMAINDER])
-        first = self.holding()
+        first = self.start_sole_owner()
         self.run_first_events(first)
         shard = first._keeper.owned[node_shard()]
         eventually(lambda: shard.jobs['j1'].state.kept)
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         self.isolate(first, second)
         eventually(lambda: len(second._keeper.owned) == 4, 5)
         self.assert_resumes(second)
@@ -57,8 +57,8 @@
     @parameterized.expand([('stopped', False), ('retired', True)])
     def test_leaving_owner_saves_progress(self, _name, ordered):
         self.configure([_INCOMPLETE, _REMAINDER])
-        first = self.holding()
-        second = self.owner('owner-2')
+        first = self.start_sole_owner()
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.able_owners)
         self.run_first_events(first)
         running = first._keeper.owned[node_shard()].jobs['j1']
@@ -74,8 +74,8 @@
 
     def test_job_submitted_while_progress_is_saved(self):
         self.configure([])
-        first = self.holding()
-        second = self.owner('owner-2')
+        first = self.start_sole_owner()
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.able_owners)
         first.draining = True
         owned = dict(first._keeper.owned)
@@ -97,7 +97,7 @@
 
     def test_progress_of_finished_item_is_dropped(self):
         self.configure([_INCOMPLETE, _REMAINDER])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.run_first_events(node)
         state = node._keeper.owned[node_shard()].jobs['j1'].state
         eventually(lambda: state.kept)
@@ -110,7 +110,7 @@
     def test_write_rate(self):
         """Running items take about one write a second."""
         self.configure([])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.submit(node, job(items=2))
         eventually(lambda: len(self.engine.requests) == 2)
         shard = node._keeper.owned[node_shard()]
@@ -276,14 +276,14 @@
         failed = b'HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n'
         self.configure([failed, failed])
         process = SimulatedProcess()
-        first = process.start(self.holding)
+        first = process.start(self.start_sole_owner)
         self.submit(first)
         eventually(lambda: len(self.engine.requests) == 3)
         # The third run is under way; let the first two failures be saved.
         gevent.sleep(1.5)
         process.end()
         self.configure([failed] * 3)
-        second = self.holding('owner-2')
+        second = self.start_sole_owner('owner-2')
         results = eventually(lambda: self.results(second), 8)
         self.assertEqual(['dead_lettered'], [item['state'] for item in results])
         self.assertEqual(1, len(self.engine.requests))
--- a/tests/test_gateway_routing.py
+++ b/tests/test_gateway_routing.py
@@ -31,14 +31,14 @@
 
     def test_unknown_route(self):
         self.start(route('safe'), answers=[_PLAIN])
-        head, _body = self.read(self.ask('/other/1'))
+        head, _body = self.read(self.send_request('/other/1'))
         self.assertEqual(404, head.status)
 
     def test_unknown_route_while_the_store_is_away(self):
         self.start(route('safe'), answers=[_PLAIN])
         self.entry.fleet.config_watch._current = False
         self.store.trouble = Trouble.AWAY
-        head, _body = self.read(self.ask('/other/1'))
+        head, _body = self.read(self.send_request('/other/1'))
         self.assertEqual(503, head.status)
 
     def test_older_configuration_is_ignored(self):
@@ -50,7 +50,7 @@
         self.store.set('config', 'main', configuration(2, route('safe')))
         gevent.sleep(0.1)
         self.assertEqual(3, self.entry.fleet.configuration.known.version)
-        head, _body = self.read(self.ask('/x/1'))
+        head, _body = self.read(self.send_request('/x/1'))
         self.assertEqual(404, head.status)
 
     def test_history_gone(self):
@@ -65,7 +65,7 @@
         self.store.set('servers', 'i-0', engine(address, state='draining'))
         eventually(lambda: len(self.entry.fleet.engines.ready('s1')) == 1)
         for _attempt in range(3):
-            self.read(self.ask())
+            self.read(self.send_request())
         self.assertEqual([], self.engines[0].requests)
 
     @parameterized.expand(
@@ -220,7 +220,7 @@
     def _silence_watches(self):
         """Make the held watches silent after one more change."""
         self.start(route('safe'), answers=[_PLAIN])
-        self.hold()
+        self.wait_for_watch()
         self.store.trouble = Trouble.SILENT
         self.store.set('config', 'main', configuration(2, route('safe')))
         holder = self.entry.fleet.configuration
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -86,7 +86,7 @@
         self.addCleanup(link.close)
         self.configure()
         service, self.store.address = self.store, link.address
-        self.owner()
+        self.start_owner()
         made = settings('entry-1', NodeRole.ENTRY, link.address)
         entry = EntryNode(made, PlatformStore(link.address), PlatformDialect())
         entry.serve()
@@ -206,7 +206,7 @@
     def timed(self, patience=2000):
         """Ask and give the status and the seconds until it came."""
         began = time.monotonic()
-        head, _body = self.read(self.ask(patience=patience))
+        head, _body = self.read(self.send_request(timeout_ms=patience))
         return head.status, time.monotonic() - began
 
     @parameterized.expand(
@@ -257,12 +257,12 @@
     def test_slow_engines_are_not_asked_twice_for_ever(self):
         """Where all are slow, each request more makes them slower."""
         self.begin('safe')
-        before = self.sent()
+        before = self.count_engine_requests()
         with mock.patch(f'{__name__}._FIRST_SECONDS', 0.4):
             for _round in range(5):
                 calls = [gevent.spawn(self.timed) for _call in range(8)]
                 gevent.joinall(calls)
-        self.assertLessEqual(self.sent() - before, 40 + 10 + 5)
+        self.assertLessEqual(self.count_engine_requests() - before, 40 + 10 + 5)
 
 
 if __name__ == '__main__':
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -96,7 +96,7 @@
 
     def test_proof_from_before_the_sleep_is_not_enough(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         board = node._keeper.owned[node_shard()]
         self.assertTrue(board.confirm_ownership(1.5).is_ok())
         calls = len(self.store.calls)
@@ -106,7 +106,7 @@
 
     def test_held_calls_are_doubted(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         eventually(lambda: node.fleet.config_watch.holding)
         gevent.spawn(node._run_maintenance)
         gevent.sleep(0.1)
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -29,10 +29,10 @@
 
     def test_results_keep_their_positions(self):
         self.configure([_COMPLETE])
-        first = self.holding()
+        first = self.start_sole_owner()
         self.submit(first, job(items=2))
         results = eventually(lambda: self.results(first))
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         # Neither owner has reports of the other, as in a network partition.
         second.peers.claims.claimed = lambda _shard: 0
         second.peers.claims.able_owners = list
@@ -46,7 +46,7 @@
         self.assertTrue(response)
 
     def test_owner_refused_by_the_store_is_replaced(self):
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         # Open watches of the first stay up; its writes are refused.
         self._refuse_writes(first)
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
@@ -56,7 +56,7 @@
         eventually(lambda: not first._keeper.owned, 2)
 
     def test_store_outage_moves_no_shards(self):
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         epochs = first._keeper.epochs()
         self.store.trouble = Trouble.AWAY
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
@@ -71,7 +71,7 @@
         self, _name, watches_end
     ):
         """It keeps its shards: another owner would repeat unsaved work."""
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         epochs = first._keeper.epochs()
         put = first.store.put
         self._refuse_writes(first)
@@ -96,9 +96,9 @@
         self.configure()
         self.run_first_owner()
         started_at = clock.uptime()
-        restarted = [self.owner('owner-1')]
+        restarted = [self.start_owner('owner-1')]
         if other != 'owner-1':
-            restarted.append(self.owner(other))
+            restarted.append(self.start_owner(other))
         eventually(
             lambda: sum(len(owner._keeper.owned) for owner in restarted) == 4
         )
@@ -108,13 +108,13 @@
         """It may be alive and briefly unreachable."""
         self.configure()
         self.run_first_owner()
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         gevent.sleep(0.5)
         self.assertFalse(second._keeper.owned)
         eventually(lambda: len(second._keeper.owned) == 4)
 
     def test_leaving_owner_hands_over_immediately(self):
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         first.draining = True
         gevent.spawn(first.shut_down)
         eventually(lambda: len(second._keeper.owned) == 4, 3)
@@ -124,7 +124,7 @@
     def run_first_owner(self):
         """Run an owner until it has all shards, then end all its tasks."""
         tasks = TaskTracker()
-        self.holding('owner-1')
+        self.start_sole_owner('owner-1')
         tasks.end()
 
     def _refuse_writes(self, owner):
@@ -157,7 +157,7 @@
     )
     def test_forwarding(self, _name, known):
         self.configure()
-        owner = self.holding()
+        owner = self.start_sole_owner()
         entries = [self.entry(name) for name in ('entry-1', 'entry-2')]
         for entry in entries:
             eventually(
@@ -178,7 +178,7 @@
     """A retiring owner reports completion once it is drained."""
 
     def test_shards_are_given_up_before_completion(self):
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         self.store.set('retirements', 'owner-1', {'duration_s': 5})
         status = eventually(
             lambda: self.store.get('retirements', 'owner-1')['status'], 4
@@ -189,7 +189,7 @@
 
     def test_order_for_another_node(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.store.set('retirements', 'owner-9', {'duration_s': 5})
         gevent.sleep(0.5)
         self.assertEqual(4, len(node._keeper.owned))
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -54,7 +54,7 @@
 
     def status(self, *extra):
         """Return the status of one request."""
-        return self.read(self.ask(extra=extra))[0].status
+        return self.read(self.send_request(extra=extra))[0].status
 
     @parameterized.expand(
         [
@@ -129,7 +129,9 @@
         self.begin(route('safe'))
         self.store.trouble = Trouble.CUT
         eventually(lambda: not self.entry.fleet.config_watch.current)
-        head, _body = self.read(self.ask(extra=[('X-Credential', 'new')]))
+        head, _body = self.read(
+            self.send_request(extra=[('X-Credential', 'new')])
+        )
         self.assertEqual(503, head.status)
         self.assertGreater(float(head.find('retry-after')), 0)
         self.assertEqual(200, self.status(('X-Credential', _KEY)))
@@ -165,7 +167,7 @@
 
     def status(self):
         """Send a request of the team and return the response head."""
-        head, _body = self.read(self.ask(extra=[('X-Credential', _KEY)]))
+        head, _body = self.read(self.send_request(extra=[('X-Credential', _KEY)]))
         return head
 
     def test_rejected_request_has_retry_after(self):
@@ -173,7 +175,7 @@
         self.assertEqual([200, 200], [self.status().status for _ in range(2)])
         refused = self.status()
         self.assertEqual(429, refused.status)
-        self.assertEqual(2, self.sent())
+        self.assertEqual(2, self.count_engine_requests())
         later = float(refused.find('retry-after'))
         self.assertTrue(0 < later < 1.2, later)
 
@@ -222,7 +224,7 @@
             'tenants': _TEAMS,
         }
         self.store.set('config', 'main', made)
-        self.node = self.holding()
+        self.node = self.start_sole_owner()
         eventually(lambda: self.node.fleet.configuration.version == 2)
 
     def as_team(self, team, method, target, body=b'', job_id='j1'):
@@ -325,7 +327,7 @@
     def test_job_of_a_team_survives_its_owner(self):
         self.begin()
         self.assertEqual(202, self.submit_as('team-1'))
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         self.node.draining = True
         self.node.shut_down()
         eventually(lambda: len(second._keeper.owned) == 4)
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -404,7 +404,7 @@
     def status(self, key):
         """Send a request with a key and give its status."""
         extra = [('X-Credential', key)] if key else []
-        return self.read(self.ask(extra=extra))[0].status
+        return self.read(self.send_request(extra=extra))[0].status
 
     def test_the_team_over_its_share_is_refused_and_the_other_served(self):
         self.begin()
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -174,7 +174,7 @@
         fleet.pace.run_seconds = 1.0
         fleet.loads.own.online['i-0'] += 14
         # A first attempt sets the usual timeout of clients.
-        self.read(self.ask())
+        self.read(self.send_request())
         for _slot in range(20):
             self.entry.request_queue.finished('s1')
 
@@ -195,15 +195,15 @@
     def test_refused_at_once(self, _name, patience):
         self.begin()
         with gevent.Timeout(0.5):
-            head, _body = self.read(self.ask(patience=patience))
+            head, _body = self.read(self.send_request(timeout_ms=patience))
         self.assertEqual(503, head.status)
         self.assertIsNotNone(head.find('retry-after'))
 
     def test_served_once_a_slot_is_free(self):
         self.begin()
-        asking = self.ask(patience=1800)
+        asking = self.send_request(timeout_ms=1800)
         eventually(lambda: self.waiting() == 1)
-        self.assertEqual(0, self.sent())
+        self.assertEqual(0, self.count_engine_requests())
         self.free()
         head, _body = self.read(asking)
         self.assertEqual(200, head.status)
@@ -212,25 +212,25 @@
 
     def test_disconnected_client_leaves_the_queue(self):
         self.begin()
-        asking = self.ask(patience=1800)
+        asking = self.send_request(timeout_ms=1800)
         eventually(lambda: self.waiting() == 1)
         asking.close()
         eventually(lambda: self.waiting() == 0)
         self.free()
         gevent.sleep(0.1)
-        self.assertEqual(0, self.sent())
+        self.assertEqual(0, self.count_engine_requests())
 
     def test_refused_once_no_slot_is_expected(self):
         self.begin()
         with gevent.Timeout(1.7):
-            head, _body = self.read(self.ask(patience=1800))
+            head, _body = self.read(self.send_request(timeout_ms=1800))
         self.assertEqual(503, head.status)
         self.assertEqual(1, self.entry.metrics.load.held['given_up'])
-        self.assertEqual(0, self.sent())
+        self.assertEqual(0, self.count_engine_requests())
 
     def test_stopping_entry_refuses_queued_requests(self):
         self.begin()
-        asking = self.ask(patience=1800)
+        asking = self.send_request(timeout_ms=1800)
         eventually(lambda: self.waiting() == 1)
         self.entry._clients.abort_requests()
         head, _body = self.read(asking)
