--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -167,7 +167,9 @@
 
     def status(self):
         """Send a request of the team and return the response head."""
-        head, _body = self.read(self.send_request(extra=[('X-Credential', _KEY)]))
+        head, _body = self.read(
+            self.send_request(extra=[('X-Credential', _KEY)])
+        )
         return head
 
     def test_rejected_request_has_retry_after(self):
