--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -33,7 +33,7 @@
     ) -> None:
         super().__init__(settings, store, dialect)
         self._open_calls = 0
-        self._keeper = ShardManager(
+        self._shard_manager = ShardManager(
             self.store,
             self.record,
             self.peers,
@@ -42,7 +42,7 @@
         )
         self._runner = ItemRunner(
             settings.node,
-            self._keeper,
+            self._shard_manager,
             dialect,
             self.fleet,
             self.log,
@@ -52,7 +52,7 @@
             settings.node,
             self.store,
             dialect,
-            self._keeper,
+            self._shard_manager,
             self.log,
             self.retire,
             self.finish_calls,
@@ -61,7 +61,7 @@
             dialect.stops_prefix, retirement
         )
         self._api = JobApi(
-            self._keeper,
+            self._shard_manager,
             self._runner,
             self.fleet.configuration,
             dialect,
@@ -72,7 +72,7 @@
     def start(self) -> None:
         """Start to take over shards and run items."""
         gevent.spawn(self._stop_orders_watch.run)
-        gevent.spawn(self._keeper.run, self._can_write)
+        gevent.spawn(self._shard_manager.run, self._can_write)
         gevent.spawn(self._runner.run)
         gevent.spawn(self._remove_expired)
         gevent.spawn(self._probe_store)
@@ -86,7 +86,7 @@
         return replace(
             super().report(),
             sound=self._can_write(),
-            shards=held_shards(self._keeper.epochs()),
+            shards=held_shards(self._shard_manager.epochs()),
         )
 
     def state(self) -> dict[str, object]:
@@ -103,7 +103,7 @@
 
     def shut_down(self) -> None:
         """Hand over the shards, wait for open calls and set ``done``."""
-        self._keeper.leave(_DRAIN_SECONDS)
+        self._shard_manager.leave(_DRAIN_SECONDS)
         self.finish_calls()
         self.done.set()
 
@@ -119,7 +119,7 @@
         An open watch alone does not show it: it may stay open while new calls
         are rejected.
         """
-        stuck = any(one.stuck for one in self._keeper.owned.values())
+        stuck = any(owned.stuck for owned in self._shard_manager.owned.values())
         reached = self.peers_watch.current or self.store.by_peer
         return reached and not stuck
 
@@ -128,18 +128,18 @@
         while True:
             gevent.sleep(_PROBE_AFTER_SECONDS / 2)
             idle = clock.uptime() - self.store.reached_at
-            if self._keeper.owned and idle > _PROBE_AFTER_SECONDS:
-                shard = next(iter(self._keeper.owned))
+            if self._shard_manager.owned and idle > _PROBE_AFTER_SECONDS:
+                shard = next(iter(self._shard_manager.owned))
                 self.store.fetch(head_key(ShardId(shard)))
 
     def _remove_expired(self) -> None:
         while True:
             gevent.sleep(_EXPIRY_INTERVAL_SECONDS)
-            for board in list(self._keeper.owned.values()):
-                board.remove_expired_jobs()
-                if board.snapshot_failure:
+            for owned in list(self._shard_manager.owned.values()):
+                owned.remove_expired_jobs()
+                if owned.snapshot_failure:
                     self.log.event(
                         'snapshot-failed',
-                        epoch=board.epoch,
-                        reason=board.snapshot_failure,
+                        epoch=owned.epoch,
+                        reason=owned.snapshot_failure,
                     )
--- a/tests/gateway_cases.py
+++ b/tests/gateway_cases.py
@@ -147,7 +147,7 @@
     def start_sole_owner(self, name='owner-1'):
         """Start an owner and wait until it owns all shards."""
         node = self.start_owner(name)
-        eventually(lambda: len(node._keeper.owned) == 4)
+        eventually(lambda: len(node._shard_manager.owned) == 4)
         return node
 
     def start_two_owners(self):
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -79,7 +79,7 @@
         store = PlatformStore(made.store_address)
         node = OwnerNode(made, store, PlatformDialect())
         node.serve()
-        eventually(lambda: len(node._keeper.owned) == 4)
+        eventually(lambda: len(node._shard_manager.owned) == 4)
         return node
 
     def submit(self, owner, *bodies):
--- a/tests/test_gateway_engine_health.py
+++ b/tests/test_gateway_engine_health.py
@@ -438,7 +438,7 @@
         self.addCleanup(good.close)
         self.store.set('servers', 'i-2', engine(good.address))
         owner = self.start_owner()
-        eventually(lambda: len(owner._keeper.owned) == 4)
+        eventually(lambda: len(owner._shard_manager.owned) == 4)
         eventually(lambda: len(owner.fleet.engines.all()) == 2)
         listed = owner.fleet.engines.named(EngineId('i-1'))
         for _failure in range(2):
--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -73,4 +73,4 @@
             owner.shut_down()
             resumed.set()
             gevent.sleep(0.3)
-        self.assertEqual({}, owner._keeper.epochs())
+        self.assertEqual({}, owner._shard_manager.epochs())
--- a/tests/test_gateway_jobs.py
+++ b/tests/test_gateway_jobs.py
@@ -105,7 +105,7 @@
         self.assertEqual(
             [202, 202], [self.submit(node) for _attempt in range(2)]
         )
-        self.assertEqual(1, len(node._keeper.owned[node_shard()].jobs))
+        self.assertEqual(1, len(node._shard_manager.owned[node_shard()].jobs))
 
     @parameterized.expand([('fits', 30, 202), ('exceeded', 29, 429)])
     def test_quota(self, _name, limit, status):
@@ -161,7 +161,7 @@
         self.assertEqual(504, self.submit(node))
         self.store.trouble = Trouble.NONE
         eventually(lambda: self.submit(node) == 202, 6)
-        self.assertEqual(1, len(node._keeper.owned[node_shard()].jobs))
+        self.assertEqual(1, len(node._shard_manager.owned[node_shard()].jobs))
 
 
 class StoredValueTest(OwnerCase):
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -47,11 +47,11 @@
         self.configure([_INCOMPLETE, _REMAINDER])
         first = self.start_sole_owner()
         self.run_first_events(first)
-        shard = first._keeper.owned[node_shard()]
+        shard = first._shard_manager.owned[node_shard()]
         eventually(lambda: shard.jobs['j1'].state.kept)
         second = self.start_owner('owner-2')
         self.isolate(first, second)
-        eventually(lambda: len(second._keeper.owned) == 4, 5)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 5)
         self.assert_resumes(second)
 
     @parameterized.expand([('stopped', False), ('retired', True)])
@@ -61,7 +61,7 @@
         second = self.start_owner('owner-2')
         eventually(second.peers.claims.able_owners)
         self.run_first_events(first)
-        running = first._keeper.owned[node_shard()].jobs['j1']
+        running = first._shard_manager.owned[node_shard()].jobs['j1']
         eventually(lambda: running.progress['i0'].last_event == 2)
         if ordered:
             order = {'duration_s': 5}
@@ -69,7 +69,7 @@
         else:
             first.draining = True
             gevent.spawn(first.shut_down)
-        eventually(lambda: len(second._keeper.owned) == 4, 4)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 4)
         self.assert_resumes(second)
 
     def test_job_submitted_while_progress_is_saved(self):
@@ -78,7 +78,7 @@
         second = self.start_owner('owner-2')
         eventually(second.peers.claims.able_owners)
         first.draining = True
-        owned = dict(first._keeper.owned)
+        owned = dict(first._shard_manager.owned)
         shard = owned.pop(node_shard())
 
         def accept(_within):
@@ -86,20 +86,20 @@
 
         def hand_over():
             # Nothing is handed over while no report of another owner is recent.
-            first._keeper.hand_over()
-            return len(first._keeper.owned) <= 1
+            first._shard_manager.hand_over()
+            return len(first._shard_manager.owned) <= 1
 
         with mock.patch.object(shard, 'save_progress', accept):
             eventually(hand_over)
-        self.assertEqual([node_shard()], list(first._keeper.owned))
+        self.assertEqual([node_shard()], list(first._shard_manager.owned))
         shard._accepting.clear()
-        eventually(lambda: hand_over() and not first._keeper.owned)
+        eventually(lambda: hand_over() and not first._shard_manager.owned)
 
     def test_progress_of_finished_item_is_dropped(self):
         self.configure([_INCOMPLETE, _REMAINDER])
         node = self.start_sole_owner()
         self.run_first_events(node)
-        state = node._keeper.owned[node_shard()].jobs['j1'].state
+        state = node._shard_manager.owned[node_shard()].jobs['j1'].state
         eventually(lambda: state.kept)
         node.fleet.loads.own.online['i-1'] += 8
         eventually(lambda: not node._runner.running)
@@ -113,7 +113,7 @@
         node = self.start_sole_owner()
         self.submit(node, job(items=2))
         eventually(lambda: len(self.engine.requests) == 2)
-        shard = node._keeper.owned[node_shard()]
+        shard = node._shard_manager.owned[node_shard()]
         items = list(shard.jobs['j1'].progress.values())
         commit = shard._log.commit
         with mock.patch.object(shard._log, 'commit', wraps=commit) as counted:
--- a/tests/test_gateway_store_failover.py
+++ b/tests/test_gateway_store_failover.py
@@ -30,7 +30,7 @@
         self.door = Door(f'127.0.0.1:{free_port()}')
         self.store.open_door(self.door)
         self.holder = self.start_owner('owner-1', self.door.address)
-        eventually(lambda: len(self.holder._keeper.owned) == 4)
+        eventually(lambda: len(self.holder._shard_manager.owned) == 4)
         self.other = self.start_owner('owner-2', self.store.address)
         eventually(self.both_heard, 3)
 
@@ -67,8 +67,8 @@
         """Another process would have to run its items again."""
         self.door.trouble = trouble
         gevent.sleep(3)
-        self.assertEqual(4, len(self.holder._keeper.owned))
-        self.assertFalse(self.other._keeper.owned)
+        self.assertEqual(4, len(self.holder._shard_manager.owned))
+        self.assertFalse(self.other._shard_manager.owned)
 
     def test_it_calls_by_itself_again_afterwards(self):
         self.door.trouble = Trouble.AWAY
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -97,7 +97,7 @@
     def test_proof_from_before_the_sleep_is_not_enough(self):
         self.configure()
         node = self.start_sole_owner()
-        board = node._keeper.owned[node_shard()]
+        board = node._shard_manager.owned[node_shard()]
         self.assertTrue(board.confirm_ownership(1.5).is_ok())
         calls = len(self.store.calls)
         with asleep():
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -37,7 +37,7 @@
         second.peers.claims.claimed = lambda _shard: 0
         second.peers.claims.able_owners = list
         first.peers.claims.claimed = lambda _shard: 0
-        eventually(lambda: len(second._keeper.owned) == 4, 5)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 5)
         self.assertEqual(results, self.results(second))
         response = eventually(
             lambda: self.call(first, 'GET', '/-/lots/j1').head.status == 503,
@@ -51,20 +51,20 @@
         self._refuse_writes(first)
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
         # Shards are taken over one after the other.
-        eventually(lambda: len(second._keeper.owned) == 4, 15)
-        self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
-        eventually(lambda: not first._keeper.owned, 2)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 15)
+        self.assertIn('j1', second._shard_manager.owned[node_shard()].jobs)
+        eventually(lambda: not first._shard_manager.owned, 2)
 
     def test_store_outage_moves_no_shards(self):
         first, second = self.start_two_owners()
-        epochs = first._keeper.epochs()
+        epochs = first._shard_manager.epochs()
         self.store.trouble = Trouble.AWAY
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
         gevent.sleep(3)
         self.store.trouble = Trouble.NONE
         gevent.sleep(0.5)
-        self.assertEqual(epochs, first._keeper.epochs())
-        self.assertEqual({}, second._keeper.epochs())
+        self.assertEqual(epochs, first._shard_manager.epochs())
+        self.assertEqual({}, second._shard_manager.epochs())
 
     @parameterized.expand([('watches_end', True), ('watches_stay_up', False)])
     def test_owner_that_recovers_shortly_after_the_store(
@@ -72,7 +72,7 @@
     ):
         """It keeps its shards: another owner would repeat unsaved work."""
         first, second = self.start_two_owners()
-        epochs = first._keeper.epochs()
+        epochs = first._shard_manager.epochs()
         put = first.store.put
         self._refuse_writes(first)
         self.store.trouble = Trouble.AWAY
@@ -85,8 +85,8 @@
         gevent.sleep(0.8)
         first.store.put = put
         gevent.sleep(1.5)
-        self.assertEqual(epochs, first._keeper.epochs())
-        self.assertEqual({}, second._keeper.epochs())
+        self.assertEqual(epochs, first._shard_manager.epochs())
+        self.assertEqual({}, second._shard_manager.epochs())
 
     @parameterized.expand(
         [('same_owner', 'owner-1'), ('two_owners', 'owner-2')]
@@ -100,7 +100,9 @@
         if other != 'owner-1':
             restarted.append(self.start_owner(other))
         eventually(
-            lambda: sum(len(owner._keeper.owned) for owner in restarted) == 4
+            lambda: (
+                sum(len(owner._shard_manager.owned) for owner in restarted) == 4
+            )
         )
         self.assertLess(clock.uptime() - started_at, 0.6)
 
@@ -110,16 +112,16 @@
         self.run_first_owner()
         second = self.start_owner('owner-2')
         gevent.sleep(0.5)
-        self.assertFalse(second._keeper.owned)
-        eventually(lambda: len(second._keeper.owned) == 4)
+        self.assertFalse(second._shard_manager.owned)
+        eventually(lambda: len(second._shard_manager.owned) == 4)
 
     def test_leaving_owner_hands_over_immediately(self):
         first, second = self.start_two_owners()
         first.draining = True
         gevent.spawn(first.shut_down)
-        eventually(lambda: len(second._keeper.owned) == 4, 3)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 3)
         self.assertEqual(202, self.submit(second))
-        self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
+        self.assertIn('j1', second._shard_manager.owned[node_shard()].jobs)
 
     def run_first_owner(self):
         """Run an owner until it has all shards, then end all its tasks."""
@@ -171,7 +173,9 @@
         self.assertEqual(202 if known else 503, status)
         status = self.request(entries[0], 'GET', '/-/lots/j1')
         self.assertEqual(200 if known else 503, status)
-        self.assertEqual(known, 'j1' in owner._keeper.owned[node_shard()].jobs)
+        self.assertEqual(
+            known, 'j1' in owner._shard_manager.owned[node_shard()].jobs
+        )
 
 
 class RetirementTest(OwnerCase):
@@ -184,15 +188,15 @@
             lambda: self.store.get('retirements', 'owner-1')['status'], 4
         )
         self.assertEqual('completed', status['state'])
-        self.assertEqual({}, first._keeper.owned)
-        eventually(lambda: len(second._keeper.owned) == 4, 3)
+        self.assertEqual({}, first._shard_manager.owned)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 3)
 
     def test_order_for_another_node(self):
         self.configure()
         node = self.start_sole_owner()
         self.store.set('retirements', 'owner-9', {'duration_s': 5})
         gevent.sleep(0.5)
-        self.assertEqual(4, len(node._keeper.owned))
+        self.assertEqual(4, len(node._shard_manager.owned))
         self.assertIsNone(self.store.get('retirements', 'owner-9')['status'])
 
 
--- a/tests/test_gateway_teams.py
+++ b/tests/test_gateway_teams.py
@@ -320,7 +320,7 @@
         # Items are compressed in the log.
         (accepted,) = [
             job.state.accepted
-            for board in self.node._keeper.owned.values()
+            for board in self.node._shard_manager.owned.values()
             for job in board.jobs.values()
         ]
         (item,) = unpack_items(accepted.packed, b'')
@@ -332,7 +332,7 @@
         second = self.start_owner('owner-2')
         self.node.draining = True
         self.node.shut_down()
-        eventually(lambda: len(second._keeper.owned) == 4)
+        eventually(lambda: len(second._shard_manager.owned) == 4)
         self.node = second
         read = '/-/lots/j1?watch_after=0'
         self.assertEqual(200, self.as_team('team-1', 'GET', read).head.status)
