--- a/packages/bendlead-gateway/src/bendlead_gateway/numbers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/numbers.py
@@ -1,20 +1,20 @@
-"""Numbers in headers, which may be anything."""
+"""Parsing of numbers in untrusted headers."""
 
 import math
 
 
-def read_number(text: str | None) -> float | None:
-    """Read a number, or give none where the text is no finite one."""
+def parse_number(text: str | None) -> float | None:
+    """Return a finite number, or None if the text is not one."""
     try:
-        found = float(text or '')
+        number = float(text or '')
     except ValueError:
         return None
-    return found if math.isfinite(found) else None
+    return number if math.isfinite(number) else None
 
 
-def read_seconds(text: str | None, default: float, longest: float) -> float:
-    """Read a time, at most the longest one; the default where it is none."""
-    seconds = read_number(text)
+def parse_seconds(text: str | None, default: float, maximum: float) -> float:
+    """Return a duration up to ``maximum``; the default if it is invalid."""
+    seconds = parse_number(text)
     if seconds is None or seconds < 0:
         return default
-    return min(seconds, longest)
+    return min(seconds, maximum)
--- a/tests/test_gateway_handover.py
+++ b/tests/test_gateway_handover.py
@@ -19,18 +19,18 @@
     def test_leaving_owner(self):
         """A process must answer all requests before it exits."""
         self.configure()
-        owner = self.holding()
+        owner = self.start_sole_owner()
         read = self._start_read(owner)
-        owner.leaving = True
-        owner.leave()
+        owner.draining = True
+        owner.shut_down()
         self.assertEqual(0, owner.internal.busy)
         self.assertEqual(200, read.read_head(1).status)
 
     def test_retiring_owner(self):
         """A node may be removed as soon as it reports completion."""
         self.configure()
-        first = self.holding()
-        second = self.owner('owner-2')
+        first = self.start_sole_owner()
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.available_owners)
         eventually(first.peers.claims.available_owners)
         read = self._start_read(first)
@@ -67,10 +67,10 @@
 
         take_over_shard = shard_manager.take_over_shard
         with mock.patch.object(shard_manager, 'take_over_shard', open_late):
-            owner = self.owner()
+            owner = self.start_owner()
             self.assertTrue(opened.wait(3))
-            owner.leaving = True
-            owner.leave()
+            owner.draining = True
+            owner.shut_down()
             resumed.set()
             gevent.sleep(0.3)
-        self.assertEqual({}, owner._keeper.epochs())
+        self.assertEqual({}, owner._shard_manager.epochs())
--- a/tests/test_gateway_odd_entries.py
+++ b/tests/test_gateway_odd_entries.py
@@ -58,12 +58,12 @@
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
         names = {engine.engine for engine in self.entry.fleet.engines.all()}
         self.assertEqual({'i-0', 'i-1'}, names)
-        self.assertEqual(200, self.read(self.ask())[0].status)
+        self.assertEqual(200, self.read(self.send_request())[0].status)
 
     @parameterized.expand(_ODD)
     def test_written_over_an_engine(self, _name, odd):
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
-        self.hold()
+        self.wait_for_watch()
         self.store.set('servers', 'i-0', odd)
         engines = self.entry.fleet.engines
         eventually(
@@ -75,7 +75,7 @@
     def test_unknown_service(self):
         self.store.set('servers', 'a-odd', engine(_ADDRESS, service='s9'))
         self.start(route('safe'), answers=[_PLAIN], others=1)
-        self.assertEqual(200, self.read(self.ask())[0].status)
+        self.assertEqual(200, self.read(self.send_request())[0].status)
 
 
 class OddPeerTest(EntryCase):
@@ -104,7 +104,7 @@
     def begin(self, **changed):
         """Start an entry process with one engine, and update that engine."""
         self.start(route('safe'), answers=[_PLAIN])
-        self.hold()
+        self.wait_for_watch()
         self.update(**changed)
 
     def update(self, **changed):
@@ -117,7 +117,7 @@
         """Failures and connections belong to the previous incarnation."""
         self.begin(born=1000)
         fleet = self.entry.fleet
-        self.assertEqual(200, self.read(self.ask())[0].status)
+        self.assertEqual(200, self.read(self.send_request())[0].status)
         gevent.sleep(0.05)
         for _failure in range(3):
             fleet.health.record_failure('i-0', unreachable=True)
--- a/tests/test_gateway_pace.py
+++ b/tests/test_gateway_pace.py
@@ -335,7 +335,7 @@
     @parameterized.expand([('stream', 'streaming', 1), ('plain', 'safe', 0)])
     def test_answer(self, _name, kind, streams):
         self.start(route(kind), answers=[_slowly])
-        self.read(self.ask())
+        self.read(self.send_request())
         eventually(lambda: self.entry.metrics.requests['answered'])
         paces = self.entry.state()['paces']
         self.assertEqual(streams, len(paces))
@@ -356,7 +356,7 @@
             streams=3,
             gap_us=round(gap * 1e6),
         )
-        self.entry.hear_report(
+        self.entry.receive_report(
             NodeReport(node='entry-9', sound=True, leaving=False, paces=[pace])
         )
 
@@ -380,7 +380,7 @@
             {'node': 'entry-9', 'sound': True, 'leaving': False}
         )
         older = msgspec.json.decode(report, type=NodeReport)
-        self.entry.hear_report(older)
+        self.entry.receive_report(older)
         self.assertEqual({}, self.entry.state()['paces'])
 
 
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -17,7 +17,7 @@
 from parameterized import parameterized
 
 from tests.gateway_cases import OwnerCase, job, node_shard
-from tests.gateway_standins import ProcessLife, chunked, event, eventually
+from tests.gateway_standins import SimulatedProcess, chunked, event, eventually
 
 _INCOMPLETE = chunked(event(1, 'a'), event(2, 'b'), last=False)
 _REMAINDER = chunked(event(3, 'c'))
@@ -45,40 +45,40 @@
 
     def test_lost_owner(self):
         self.configure([_INCOMPLETE, _REMAINDER])
-        first = self.holding()
+        first = self.start_sole_owner()
         self.run_first_events(first)
-        shard = first._keeper.owned[node_shard()]
+        shard = first._shard_manager.owned[node_shard()]
         eventually(lambda: shard.jobs['j1'].state.kept)
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         self.isolate(first, second)
-        eventually(lambda: len(second._keeper.owned) == 4, 5)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 5)
         self.assert_resumes(second)
 
     @parameterized.expand([('stopped', False), ('retired', True)])
     def test_leaving_owner_saves_progress(self, _name, ordered):
         self.configure([_INCOMPLETE, _REMAINDER])
-        first = self.holding()
-        second = self.owner('owner-2')
+        first = self.start_sole_owner()
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.available_owners)
         self.run_first_events(first)
-        running = first._keeper.owned[node_shard()].jobs['j1']
+        running = first._shard_manager.owned[node_shard()].jobs['j1']
         eventually(lambda: running.progress['i0'].last_event == 2)
         if ordered:
             order = {'duration_s': 5}
             self.store.set('retirements', 'owner-1', order)
         else:
-            first.leaving = True
-            gevent.spawn(first.leave)
-        eventually(lambda: len(second._keeper.owned) == 4, 4)
+            first.draining = True
+            gevent.spawn(first.shut_down)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 4)
         self.assert_resumes(second)
 
     def test_job_submitted_while_progress_is_saved(self):
         self.configure([])
-        first = self.holding()
-        second = self.owner('owner-2')
+        first = self.start_sole_owner()
+        second = self.start_owner('owner-2')
         eventually(second.peers.claims.available_owners)
-        first.leaving = True
-        owned = dict(first._keeper.owned)
+        first.draining = True
+        owned = dict(first._shard_manager.owned)
         shard = owned.pop(node_shard())
 
         def accept(_within):
@@ -86,20 +86,20 @@
 
         def hand_over():
             # Nothing is handed over while no report of another owner is recent.
-            first._keeper.hand_over()
-            return len(first._keeper.owned) <= 1
+            first._shard_manager.hand_over()
+            return len(first._shard_manager.owned) <= 1
 
         with mock.patch.object(shard, 'save_progress', accept):
             eventually(hand_over)
-        self.assertEqual([node_shard()], list(first._keeper.owned))
+        self.assertEqual([node_shard()], list(first._shard_manager.owned))
         shard._accepting.clear()
-        eventually(lambda: hand_over() and not first._keeper.owned)
+        eventually(lambda: hand_over() and not first._shard_manager.owned)
 
     def test_progress_of_finished_item_is_dropped(self):
         self.configure([_INCOMPLETE, _REMAINDER])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.run_first_events(node)
-        state = node._keeper.owned[node_shard()].jobs['j1'].state
+        state = node._shard_manager.owned[node_shard()].jobs['j1'].state
         eventually(lambda: state.kept)
         node.fleet.loads.own.online['i-1'] += 8
         eventually(lambda: not node._runner.running)
@@ -110,10 +110,10 @@
     def test_write_rate(self):
         """Running items take about one write a second."""
         self.configure([])
-        node = self.holding()
+        node = self.start_sole_owner()
         self.submit(node, job(items=2))
         eventually(lambda: len(self.engine.requests) == 2)
-        shard = node._keeper.owned[node_shard()]
+        shard = node._shard_manager.owned[node_shard()]
         items = list(shard.jobs['j1'].progress.values())
         commit = shard._log.commit
         with mock.patch.object(shard._log, 'commit', wraps=commit) as counted:
@@ -275,15 +275,15 @@
     def test_failures_under_two_owners(self):
         failed = b'HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n'
         self.configure([failed, failed])
-        process = ProcessLife()
-        first = process.start(self.holding)
+        process = SimulatedProcess()
+        first = process.start(self.start_sole_owner)
         self.submit(first)
         eventually(lambda: len(self.engine.requests) == 3)
         # The third run is under way; let the first two failures be saved.
         gevent.sleep(1.5)
         process.end()
         self.configure([failed] * 3)
-        second = self.holding('owner-2')
+        second = self.start_sole_owner('owner-2')
         results = eventually(lambda: self.results(second), 8)
         self.assertEqual(['dead_lettered'], [item['state'] for item in results])
         self.assertEqual(1, len(self.engine.requests))
--- a/tests/test_gateway_silence.py
+++ b/tests/test_gateway_silence.py
@@ -30,7 +30,7 @@
 from tests.gateway_cases import EntryCase, OwnerCase
 from tests.gateway_standins import (
     ScriptedPeer,
-    SilentLink,
+    StallingProxy,
     configuration,
     engine,
     eventually,
@@ -59,7 +59,7 @@
         self.service = PlatformStandIn(f'127.0.0.1:{free_port()}')
         self.service.start()
         self.service.set('things', 'a', {'n': 1})
-        self.link = SilentLink(self.service.address)
+        self.link = StallingProxy(self.service.address)
         self.addCleanup(self.link.close)
         self.store = PlatformStore(self.link.address)
 
@@ -69,7 +69,7 @@
             gevent.spawn(self.store.fetch, 'things/a') for _call in range(4)
         ]
         gevent.joinall(calls)
-        self.link.silence()
+        self.link.stall()
         began = time.monotonic()
         while not isinstance(self.store.fetch('things/a'), Ok):
             self.assertLess(time.monotonic() - began, 10)
@@ -81,21 +81,21 @@
 
     @parameterized.expand([('idle', 0.0), ('soon_after_a_call', 0.9)])
     def test_configuration_is_seen(self, _name, rest):
-        link = SilentLink(self.store.address)
+        link = StallingProxy(self.store.address)
         self.addCleanup(link.close)
         self.configure()
         service, self.store.address = self.store, link.address
-        self.owner()
+        self.start_owner()
         entry_settings = settings('entry-1', NodeRole.ENTRY, link.address)
         entry = EntryNode(
             entry_settings, PlatformStore(link.address), PlatformDialect()
         )
         entry.serve()
-        gevent.spawn(entry._sweep)
+        gevent.spawn(entry._run_maintenance)
         eventually(lambda: entry.fleet.config_watch.is_waiting)
         eventually(lambda: entry.peers.claims.available_owners(), 5)
         gevent.sleep(1 + rest)
-        link.silence()
+        link.stall()
         began = time.monotonic()
         service.set('config', 'main', configuration(2, route('batch')))
         known = entry.fleet.configuration
@@ -115,7 +115,7 @@
         )
         server.start()
         self.addCleanup(server.stop_accepting)
-        self.link = SilentLink(address)
+        self.link = StallingProxy(address)
         self.addCleanup(self.link.close)
         dialect = PlatformDialect()
         own = self.record('a', '127.0.0.1:1')
@@ -164,7 +164,7 @@
         ):
             for _repeat in range(3):
                 gevent.sleep(0.1)
-                self.link.silence()
+                self.link.stall()
                 oldest = 0
                 began = time.monotonic()
                 while time.monotonic() - began < 3:
@@ -189,7 +189,7 @@
         for number, peer in enumerate(peers):
             self.addCleanup(peer.close)
             self.engines.append(peer)
-            link = SilentLink(peer.address)
+            link = StallingProxy(peer.address)
             self.addCleanup(link.close)
             self.links.append(link)
             entry = engine(link.address)
@@ -207,7 +207,7 @@
     def timed(self, patience=2000):
         """Send a request; return its status and response time (s)."""
         began = time.monotonic()
-        head, _body = self.read(self.ask(patience=patience))
+        head, _body = self.read(self.send_request(timeout_ms=patience))
         return head.status, time.monotonic() - began
 
     @parameterized.expand(
@@ -222,7 +222,7 @@
             kind, target_latency_ms=target_ms, timeout_ms=5000, **changed
         )
         for link in self.links:
-            link.silence()
+            link.stall()
         status, seconds = self.timed(patience=5000)
         self.assertEqual(200, status)
         self.assertLess(seconds, _LATENCY_TARGET_SECONDS)
@@ -244,7 +244,7 @@
             self.entry.fleet.loads.own.online[name] += 8
         before = sum(link.opened for link in self.links)
         for link in self.links:
-            link.silence()
+            link.stall()
         status, seconds = self.timed()
         self.assertEqual(504, status)
         self.assertGreater(seconds, 0.6)
@@ -260,12 +260,12 @@
     def test_retries_to_slow_engines_are_limited(self):
         """Each retry adds load to engines that are overloaded already."""
         self.begin('safe')
-        before = self.sent()
+        before = self.count_engine_requests()
         with mock.patch(f'{__name__}._RESPONSE_SECONDS', 0.4):
             for _round in range(5):
                 calls = [gevent.spawn(self.timed) for _call in range(8)]
                 gevent.joinall(calls)
-        self.assertLessEqual(self.sent() - before, 40 + 10 + 5)
+        self.assertLessEqual(self.count_engine_requests() - before, 40 + 10 + 5)
 
 
 if __name__ == '__main__':
--- a/tests/test_gateway_store_failover.py
+++ b/tests/test_gateway_store_failover.py
@@ -30,7 +30,7 @@
         self.door = Door(f'127.0.0.1:{free_port()}')
         self.store.open_door(self.door)
         self.shard_owner = self.start_owner('owner-1', self.door.address)
-        eventually(lambda: len(self.shard_owner._keeper.owned) == 4)
+        eventually(lambda: len(self.shard_owner._shard_manager.owned) == 4)
         self.other = self.start_owner('owner-2', self.store.address)
         eventually(self.are_connected, 3)
 
@@ -69,8 +69,8 @@
         """A takeover would run its items again."""
         self.door.trouble = trouble
         gevent.sleep(3)
-        self.assertEqual(4, len(self.shard_owner._keeper.owned))
-        self.assertFalse(self.other._keeper.owned)
+        self.assertEqual(4, len(self.shard_owner._shard_manager.owned))
+        self.assertFalse(self.other._shard_manager.owned)
 
     def test_direct_calls_resume(self):
         self.door.trouble = Trouble.AWAY
--- a/tests/test_gateway_suspension.py
+++ b/tests/test_gateway_suspension.py
@@ -13,7 +13,7 @@
 from bendlead_gateway._fleet.health import EngineHealth
 from bendlead_gateway._fleet.loads import LoadTable
 from bendlead_gateway._fleet.peer import Peer
-from bendlead_gateway._suspension import SuspensionWatch
+from bendlead_gateway._suspension import SuspensionDetector
 from bendlead_gateway.types import DataHall, NodeName, NodeRole, PeerRecord
 from bendlead_store import clock
 from parameterized import parameterized
@@ -70,11 +70,11 @@
             self.assertFalse(is_current())
 
     def test_suspension_is_reported_once(self):
-        watch = SuspensionWatch()
-        self.assertEqual(0, watch.look())
+        watch = SuspensionDetector()
+        self.assertEqual(0, watch.poll())
         with suspended():
-            self.assertAlmostEqual(_SUSPENDED_SECONDS, watch.look(), 1)
-            self.assertEqual(0, watch.look())
+            self.assertAlmostEqual(_SUSPENDED_SECONDS, watch.poll(), 1)
+            self.assertEqual(0, watch.poll())
 
     def test_monotonic_clock_is_not_used(self):
         """Ages and deadlines must include the time of a suspension."""
@@ -97,8 +97,8 @@
 
     def test_proof_from_before_the_suspension_expires(self):
         self.configure()
-        node = self.holding()
-        board = node._keeper.owned[node_shard()]
+        node = self.start_sole_owner()
+        board = node._shard_manager.owned[node_shard()]
         self.assertTrue(board.confirm_ownership(1.5).is_ok())
         calls = len(self.store.calls)
         with suspended():
@@ -107,9 +107,9 @@
 
     def test_watch_calls_are_restarted(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         eventually(lambda: node.fleet.config_watch.is_waiting)
-        gevent.spawn(node._sweep)
+        gevent.spawn(node._run_maintenance)
         gevent.sleep(0.1)
         with suspended():
             lines = eventually(
--- a/tests/test_gateway_takeover.py
+++ b/tests/test_gateway_takeover.py
@@ -14,7 +14,7 @@
 
 from tests.gateway_cases import OwnerCase, job, node_shard
 from tests.gateway_standins import (
-    Tasks,
+    TaskTracker,
     chunked,
     event,
     eventually,
@@ -29,15 +29,15 @@
 
     def test_results_keep_their_positions(self):
         self.configure([_COMPLETE])
-        first = self.holding()
+        first = self.start_sole_owner()
         self.submit(first, job(items=2))
         results = eventually(lambda: self.results(first))
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         # Neither owner has reports of the other, as in a network partition.
         second.peers.claims.highest_epoch = lambda _shard: 0
         second.peers.claims.available_owners = list
         first.peers.claims.highest_epoch = lambda _shard: 0
-        eventually(lambda: len(second._keeper.owned) == 4, 5)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 5)
         self.assertEqual(results, self.results(second))
         response = eventually(
             lambda: self.call(first, 'GET', '/-/lots/j1').head.status == 503,
@@ -46,33 +46,33 @@
         self.assertTrue(response)
 
     def test_owner_refused_by_the_store_is_replaced(self):
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         # Open watches of the first stay up; its writes are refused.
         self._refuse_writes(first)
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
         # Shards are taken over one after the other.
-        eventually(lambda: len(second._keeper.owned) == 4, 15)
-        self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
-        eventually(lambda: not first._keeper.owned, 2)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 15)
+        self.assertIn('j1', second._shard_manager.owned[node_shard()].jobs)
+        eventually(lambda: not first._shard_manager.owned, 2)
 
     def test_store_outage_moves_no_shards(self):
-        first, second = self.two_owners()
-        epochs = first._keeper.epochs()
+        first, second = self.start_two_owners()
+        epochs = first._shard_manager.epochs()
         self.store.trouble = Trouble.AWAY
         gevent.spawn(self.call, first, 'DELETE', '/-/lots/j1')
         gevent.sleep(3)
         self.store.trouble = Trouble.NONE
         gevent.sleep(0.5)
-        self.assertEqual(epochs, first._keeper.epochs())
-        self.assertEqual({}, second._keeper.epochs())
+        self.assertEqual(epochs, first._shard_manager.epochs())
+        self.assertEqual({}, second._shard_manager.epochs())
 
     @parameterized.expand([('watches_end', True), ('watches_stay_up', False)])
     def test_owner_that_recovers_shortly_after_the_store(
         self, _name, watches_end
     ):
         """It keeps its shards: another owner would repeat unsaved work."""
-        first, second = self.two_owners()
-        epochs = first._keeper.epochs()
+        first, second = self.start_two_owners()
+        epochs = first._shard_manager.epochs()
         put = first.store.put
         self._refuse_writes(first)
         self.store.trouble = Trouble.AWAY
@@ -85,8 +85,8 @@
         gevent.sleep(0.8)
         first.store.put = put
         gevent.sleep(1.5)
-        self.assertEqual(epochs, first._keeper.epochs())
-        self.assertEqual({}, second._keeper.epochs())
+        self.assertEqual(epochs, first._shard_manager.epochs())
+        self.assertEqual({}, second._shard_manager.epochs())
 
     @parameterized.expand(
         [('same_owner', 'owner-1'), ('two_owners', 'owner-2')]
@@ -96,11 +96,13 @@
         self.configure()
         self.run_first_owner()
         started_at = clock.uptime()
-        restarted = [self.owner('owner-1')]
+        restarted = [self.start_owner('owner-1')]
         if other != 'owner-1':
-            restarted.append(self.owner(other))
+            restarted.append(self.start_owner(other))
         eventually(
-            lambda: sum(len(owner._keeper.owned) for owner in restarted) == 4
+            lambda: (
+                sum(len(owner._shard_manager.owned) for owner in restarted) == 4
+            )
         )
         self.assertLess(clock.uptime() - started_at, 0.6)
 
@@ -108,23 +110,23 @@
         """It may be alive and briefly unreachable."""
         self.configure()
         self.run_first_owner()
-        second = self.owner('owner-2')
+        second = self.start_owner('owner-2')
         gevent.sleep(0.5)
-        self.assertFalse(second._keeper.owned)
-        eventually(lambda: len(second._keeper.owned) == 4)
+        self.assertFalse(second._shard_manager.owned)
+        eventually(lambda: len(second._shard_manager.owned) == 4)
 
     def test_leaving_owner_hands_over_immediately(self):
-        first, second = self.two_owners()
-        first.leaving = True
-        gevent.spawn(first.leave)
-        eventually(lambda: len(second._keeper.owned) == 4, 3)
+        first, second = self.start_two_owners()
+        first.draining = True
+        gevent.spawn(first.shut_down)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 3)
         self.assertEqual(202, self.submit(second))
-        self.assertIn('j1', second._keeper.owned[node_shard()].jobs)
+        self.assertIn('j1', second._shard_manager.owned[node_shard()].jobs)
 
     def run_first_owner(self):
         """Run an owner until it has all shards, then end all its tasks."""
-        tasks = Tasks()
-        self.holding('owner-1')
+        tasks = TaskTracker()
+        self.start_sole_owner('owner-1')
         tasks.end()
 
     def _refuse_writes(self, owner):
@@ -157,7 +159,7 @@
     )
     def test_forwarding(self, _name, known):
         self.configure()
-        owner = self.holding()
+        owner = self.start_sole_owner()
         entries = [self.entry(name) for name in ('entry-1', 'entry-2')]
         for entry in entries:
             eventually(lambda node=entry: node.peers.claims.owner(node_shard()))
@@ -169,28 +171,30 @@
         self.assertEqual(202 if known else 503, status)
         status = self.request(entries[0], 'GET', '/-/lots/j1')
         self.assertEqual(200 if known else 503, status)
-        self.assertEqual(known, 'j1' in owner._keeper.owned[node_shard()].jobs)
+        self.assertEqual(
+            known, 'j1' in owner._shard_manager.owned[node_shard()].jobs
+        )
 
 
 class RetirementTest(OwnerCase):
     """A retiring owner reports completion once it is drained."""
 
     def test_shards_are_given_up_before_completion(self):
-        first, second = self.two_owners()
+        first, second = self.start_two_owners()
         self.store.set('retirements', 'owner-1', {'duration_s': 5})
         status = eventually(
             lambda: self.store.get('retirements', 'owner-1')['status'], 4
         )
         self.assertEqual('completed', status['state'])
-        self.assertEqual({}, first._keeper.owned)
-        eventually(lambda: len(second._keeper.owned) == 4, 3)
+        self.assertEqual({}, first._shard_manager.owned)
+        eventually(lambda: len(second._shard_manager.owned) == 4, 3)
 
     def test_order_for_another_node(self):
         self.configure()
-        node = self.holding()
+        node = self.start_sole_owner()
         self.store.set('retirements', 'owner-9', {'duration_s': 5})
         gevent.sleep(0.5)
-        self.assertEqual(4, len(node._keeper.owned))
+        self.assertEqual(4, len(node._shard_manager.owned))
         self.assertIsNone(self.store.get('retirements', 'owner-9')['status'])
 
 
