--- a/testing/src/bendlead_testing/replay/__init__.py
+++ b/testing/src/bendlead_testing/replay/__init__.py
@@ -1,9 +1,9 @@
-"""Replay a load against the decisions of the gateway, in simulated time.
+"""Replay a load through the gateway's scheduling code in simulated time.
 
-Engines run so many requests at once and queue the others in order. Entries
-place requests, and owners place items, by counts that are some time old.
-The decisions are those of the product; what is simulated is what they decide
-about.
+Engines run as many requests as they have slots and queue the others in order.
+Entries place requests, and owners place items, by counts that are some time
+old. The decisions are made by the code of the gateway; clients, engines and
+the network are simulated.
 """
 
 from bendlead_testing.replay._load import Load, Tally, Uneven
--- a/testing/src/bendlead_testing/replay/_entries.py
+++ b/testing/src/bendlead_testing/replay/_entries.py
@@ -11,195 +11,200 @@
 from msgspec.structs import replace
 
 from bendlead_testing.replay._fleet import SimulatedFleet, hall_name
-from bendlead_testing.replay._learning import LearningEntries
 from bendlead_testing.replay._load import Load, Tally
-from bendlead_testing.replay._simulated import Clock, Run
+from bendlead_testing.replay._simulated import Run, SimulatedClock
+from bendlead_testing.replay._speed_estimates import EntryEstimates
 
-#: From the start of a run to its first event: prompt and first step (s).
-FIRST_EVENT = 0.03
-#: From a client to an entry, to an engine and back (s).
-_WAY = 0.008
-#: Clients heed no longer hint, in shares of the time they have left.
-_LONGEST_HINT = 1 / 3
+#: From the start of a run to its first event: prefill and first decode step.
+FIRST_EVENT_SECONDS = 0.03
+#: From a client through an entry to an engine and back.
+_NETWORK_SECONDS = 0.008
+#: Clients retry within this share of their remaining time.
+_MAX_RETRY_AFTER_SHARE = 1 / 3
 
 
 @dataclass
-class _Asked:
-    """Keep one client's request over its tries."""
+class _Request:
+    """Request of a client, over all its attempts."""
 
     hall: int
-    first: float
+    first_sent_at: float
     seconds: float
-    tries: int = 0
+    attempts: int = 0
 
 
 class SimulatedEntries:
-    """Take the requests of a load and place them."""
+    """Entries that place the requests of a load."""
 
     def __init__(
         self,
         load: Load,
         fleet: SimulatedFleet,
-        clock: Clock,
-        requests: random.Random,
-        chance: random.Random,
+        clock: SimulatedClock,
+        request_rng: random.Random,
+        rng: random.Random,
         tally: Tally,
     ) -> None:
         self._load = load
         self._fleet = fleet
         self._clock = clock
-        self._requests = requests
-        self._chance = chance
+        self._request_rng = request_rng
+        self._rng = rng
         self._tally = tally
         self._traffic = placement.Traffic(load.run, load.age)
-        self._learning: LearningEntries | None = None
+        self._estimates: EntryEstimates | None = None
         if load.uneven is not None:
-            self._learning = LearningEntries(
+            self._estimates = EntryEstimates(
                 load.uneven, load.entries, load.age, clock
             )
         self._runs: list[list[Run]] = [[] for _entry in range(load.entries)]
 
-    def arrive(self) -> None:
-        """Let a request come, and the next ones after pauses."""
+    def generate_requests(self) -> None:
+        """Send a request and schedule the next one."""
         now = self._clock.now
         if now < self._load.length:
             rate = self._load.online * self._load.factor(now)
             if now:
-                self._come()
-            # The next phase is met at its begin, not a whole pause later.
-            pause = min(self._requests.expovariate(rate), 10)
-            self._clock.after(pause, self.arrive)
+                self._add_request()
+            # Bounded, as the rate may rise with the next phase.
+            pause = min(self._request_rng.expovariate(rate), 10)
+            self._clock.call_later(pause, self.generate_requests)
 
-    def _come(self) -> None:
+    def _add_request(self) -> None:
         halls = range(len(self._load.engines))
-        hall = self._requests.choices(halls, self._load.clients)[0]
-        seconds = self._load.run * self._requests.uniform(0.6, 1.4)
-        self._try(_Asked(hall, self._clock.now, seconds))
+        hall = self._request_rng.choices(halls, self._load.clients)[0]
+        seconds = self._load.run * self._request_rng.uniform(0.6, 1.4)
+        self._attempt(_Request(hall, self._clock.now, seconds))
 
-    def _try(self, asked: _Asked) -> None:
+    def _attempt(self, request: _Request) -> None:
         load = self._load
-        entry = self._draw_entry(asked.hall)
-        views = self._views(entry, asked.hall)
+        entry = self._draw_entry(request.hall)
+        views = self._views(entry, request.hall)
         chosen = placement.choose_engine(
-            views, self._traffic_at(entry), self._chance.random
+            views, self._traffic_at(entry), self._rng.random
         )
         assert chosen is not None
-        left = load.patience - (self._clock.now - asked.first)
+        remaining = load.patience - (self._clock.now - request.first_sent_at)
         refusal = admission.check_admission(
-            admission.AdmissionRequest(load.aim, left),
+            admission.AdmissionRequest(load.aim, remaining),
             chosen.wait,
-            self._chance.random,
+            self._rng.random,
         )
-        asked.tries += 1
+        request.attempts += 1
         if refusal is not None:
-            self._refuse(asked, refusal, left)
+            self._refuse(request, refusal, remaining)
             return
-        self._send(asked, entry, chosen.view)
+        self._send(request, entry, chosen.view)
 
     def _draw_entry(self, hall: int) -> int:
         halls = len(self._load.engines)
-        entry = self._chance.randrange(self._load.entries // halls) * halls
+        entry = self._rng.randrange(self._load.entries // halls) * halls
         return (entry + hall) % self._load.entries
 
-    def _send(self, asked: _Asked, entry: int, view: EngineView) -> None:
-        engine = self._fleet.engine(view.engine)
+    def _send(self, request: _Request, entry: int, view: EngineView) -> None:
+        engine = self._fleet.find(view.engine)
         run = Run(
             engine,
-            asked.seconds,
+            request.seconds,
             entry,
-            lambda began: self._first(asked, began, run),
-            lambda _ended: self._end(run),
-            self._is_apart(entry),
+            lambda started_at: self._on_start(request, started_at, run),
+            lambda _ended_at: self._on_end(run),
+            self._is_partitioned(entry),
         )
         self._runs[entry].append(run)
         engine.add(run)
 
     def _refuse(
-        self, asked: _Asked, refusal: admission.Refusal, left: float
+        self, request: _Request, refusal: admission.Refusal, remaining: float
     ) -> None:
-        self._fleet.refused_at = self._clock.now
-        if asked.tries > 1:
-            self._count(asked, 'lost')
+        self._fleet.last_refused_at = self._clock.now
+        if request.attempts > 1:
+            self._count(request, 'lost')
             return
-        pause = min(refusal.retry_after, left * _LONGEST_HINT)
-        self._clock.after(pause, lambda: self._try(asked))
-
-    def _end(self, run: Run) -> None:
-        if self._learning is not None:
-            self._learning.end(run)
-
-    def _first(self, asked: _Asked, began: float, run: Run) -> None:
-        if self._learning is not None:
-            self._learning.follow(run)
-        first = FIRST_EVENT * run.engine.factor(began)
-        took = began + first + _WAY - asked.first
-        in_time = took <= self._load.aim
-        refused = asked.tries > 1
+        pause = min(refusal.retry_after, remaining * _MAX_RETRY_AFTER_SHARE)
+        self._clock.call_later(pause, lambda: self._attempt(request))
+
+    def _on_end(self, run: Run) -> None:
+        if self._estimates is not None:
+            self._estimates.record_finished(run)
+
+    def _on_start(self, request: _Request, started_at: float, run: Run) -> None:
+        if self._estimates is not None:
+            self._estimates.observe(run)
+        first_event = FIRST_EVENT_SECONDS * run.engine.step_factor(started_at)
+        latency = (
+            started_at + first_event + _NETWORK_SECONDS - request.first_sent_at
+        )
+        in_time = latency <= self._load.aim
+        refused = request.attempts > 1
         self._count(
-            asked, 'in_time' if in_time else ('refused' if refused else 'late')
+            request,
+            'in_time' if in_time else ('refused' if refused else 'late'),
         )
 
-    def _count(self, asked: _Asked, ending: str) -> None:
-        self._tally.online[ending] += 1
-        self._tally.by_hall[asked.hall][ending] += 1
+    def _count(self, request: _Request, outcome: str) -> None:
+        self._tally.online[outcome] += 1
+        self._tally.by_hall[request.hall][outcome] += 1
 
     def _views(self, entry: int, hall: int) -> Sequence[EngineView]:
-        """Show the engines as one entry knows them."""
+        """Return the engines with the counts that an entry has of them."""
         age = self._fleet.draw_age()
-        past = self._fleet.past(age)
-        online = past.online[self._is_apart(entry)]
-        batch = [sum(counts) for counts in zip(*past.batch, strict=True)]
-        own_now, own_then = self._own_counts(entry, age)
+        snapshot = self._fleet.snapshot(age)
+        online = snapshot.online[self._is_partitioned(entry)]
+        batch = [sum(counts) for counts in zip(*snapshot.batch, strict=True)]
+        own_now, own_reported = self._own_counts(entry, age)
         views = [
             EngineView(
-                one.engine,
-                online=max(0, online[number] - own_then[one.engine.engine])
-                + own_now[one.engine.engine],
+                engine.engine,
+                online=max(
+                    0, online[number] - own_reported[engine.engine.engine]
+                )
+                + own_now[engine.engine.engine],
                 batch=batch[number],
-                same_hall=one.engine.hall == hall_name(hall),
+                same_hall=engine.engine.hall == hall_name(hall),
             )
-            for number, one in enumerate(self._fleet.engines)
-            if one in self._fleet.ready
+            for number, engine in enumerate(self._fleet.engines)
+            if engine in self._fleet.ready
         ]
-        return self._with_paces(entry, views)
+        return self._with_speeds(entry, views)
 
     def _traffic_at(self, entry: int) -> placement.Traffic:
-        if self._learning is None:
+        if self._estimates is None:
             return self._traffic
-        seen = self._learning.run_seconds(entry)
-        return placement.Traffic(seen, self._load.age)
+        run_seconds = self._estimates.run_seconds(entry)
+        return placement.Traffic(run_seconds, self._load.age)
 
-    def _with_paces(
+    def _with_speeds(
         self, entry: int, views: Sequence[EngineView]
     ) -> Sequence[EngineView]:
-        learning = self._learning
-        if learning is None:
+        estimates = self._estimates
+        if estimates is None:
             return views
         return [
             replace(
-                one,
-                event_gap=learning.pace(entry, one.name),
-                slowness=learning.slowness(entry, one.engine),
-                stall=learning.stall(entry, one.engine),
+                view,
+                event_gap=estimates.event_gap(entry, view.name),
+                slowness=estimates.slowness(entry, view.engine),
+                stall=estimates.stall(entry, view.engine),
             )
-            for one in views
+            for view in views
         ]
 
     def _own_counts(
         self, entry: int, age: float
     ) -> tuple[Counter[EngineId], Counter[EngineId]]:
-        """Count an entry's own requests now and as the others know them."""
+        """Count an entry's runs by engine, all and those in its reports."""
         own_now: Counter[EngineId] = Counter()
-        own_then: Counter[EngineId] = Counter()
-        then = self._clock.now - age
-        runs = [one for one in self._runs[entry] if not one.over]
+        own_reported: Counter[EngineId] = Counter()
+        reported_at = self._clock.now - age
+        runs = [run for run in self._runs[entry] if not run.ended]
         self._runs[entry] = runs
         for run in runs:
             name = run.engine.engine.engine
             own_now[name] += 1
-            if run.sent <= then:
-                own_then[name] += 1
-        return own_now, own_then
+            if run.sent_at <= reported_at:
+                own_reported[name] += 1
+        return own_now, own_reported
 
-    def _is_apart(self, entry: int) -> bool:
+    def _is_partitioned(self, entry: int) -> bool:
         return entry < self._load.apart * self._load.entries
--- a/testing/src/bendlead_testing/replay/_fleet.py
+++ b/testing/src/bendlead_testing/replay/_fleet.py
@@ -1,4 +1,4 @@
-"""Simulated engines, and what was to be known of them at each time."""
+"""Simulated engines and the history of their load."""
 
 import math
 import random
@@ -14,100 +14,101 @@
 )
 
 from bendlead_testing.replay._load import Load
-from bendlead_testing.replay._pace import SimulatedPace
-from bendlead_testing.replay._simulated import Clock, SimulatedEngine
+from bendlead_testing.replay._simulated import SimulatedClock, SimulatedEngine
+from bendlead_testing.replay._speed import SimulatedSpeed
 
-#: How finely the counts of the past are kept, and for how long (s).
-_TICK = 0.01
-_KEPT_SECONDS = 2.0
+_SNAPSHOT_INTERVAL_SECONDS = 0.01
+_RETENTION_SECONDS = 2.0
 
 
 @dataclass(frozen=True)
-class Counts:
-    """Keep what ran on each engine at one time."""
+class LoadSnapshot:
+    """Running and queued requests and items of each engine at one time."""
 
     at: float
-    #: By whether the entry is one of those that hear only one another.
+    #: Requests by whether their entry is cut off from the others.
     online: dict[bool, list[int]]
-    #: By owner.
+    #: Items by owner.
     batch: list[list[int]]
 
 
 class SimulatedFleet:
-    """Hold the engines of a load."""
+    """Engines of a load."""
 
     def __init__(
-        self, load: Load, clock: Clock, chance: random.Random, seed: int
+        self, load: Load, clock: SimulatedClock, rng: random.Random, seed: int
     ) -> None:
         self._load = load
         self._clock = clock
-        self._chance = chance
-        self._past: deque[Counts] = deque()
-        known = [
-            _engine(hall, number, load.slots)
+        self._rng = rng
+        self._snapshots: deque[LoadSnapshot] = deque()
+        engines = [
+            _make_engine(hall, number, load.slots)
             for hall, count in enumerate(load.engines)
             for number in range(count)
         ]
         self.engines = [
-            SimulatedEngine(engine, clock, _pace(load, number, seed))
-            for number, engine in enumerate(known)
+            SimulatedEngine(engine, clock, _make_speed(load, number, seed))
+            for number, engine in enumerate(engines)
         ]
         self.ready = list(self.engines)
-        #: When a request was last refused for want of places (s).
-        self.refused_at = -math.inf
+        #: When a request was last refused for lack of slots.
+        self.last_refused_at = -math.inf
 
-    def tick(self) -> None:
-        """Keep the counts of this moment, and those of each later tick."""
+    def record_snapshots(self) -> None:
+        """Record the present load, and again at each interval."""
         online = {
-            group: [one.online[group] for one in self.engines]
-            for group in (False, True)
+            partitioned: [engine.online[partitioned] for engine in self.engines]
+            for partitioned in (False, True)
         }
         batch = [
-            [one.batch[owner] for one in self.engines]
+            [engine.batch[owner] for engine in self.engines]
             for owner in range(self._load.owners)
         ]
-        self._past.append(Counts(self._clock.now, online, batch))
-        while self._past[0].at < self._clock.now - _KEPT_SECONDS:
-            self._past.popleft()
-        self._clock.after(_TICK, self.tick)
-
-    def past(self, age: float) -> Counts:
-        """Give the counts as they were some seconds ago."""
+        self._snapshots.append(LoadSnapshot(self._clock.now, online, batch))
+        while self._snapshots[0].at < self._clock.now - _RETENTION_SECONDS:
+            self._snapshots.popleft()
+        self._clock.call_later(
+            _SNAPSHOT_INTERVAL_SECONDS, self.record_snapshots
+        )
+
+    def snapshot(self, age: float) -> LoadSnapshot:
+        """Return the load as it was `age` seconds ago."""
         moment = self._clock.now - age
-        found = self._past[0]
-        for counts in self._past:
-            if counts.at > moment:
+        latest = self._snapshots[0]
+        for snapshot in self._snapshots:
+            if snapshot.at > moment:
                 break
-            found = counts
-        return found
+            latest = snapshot
+        return latest
 
     def draw_age(self) -> float:
-        """Draw how old (s) what a process knows is at this look."""
-        return self._load.age * self._chance.uniform(0.5, 1.5)
+        """Draw the age in seconds of the counts that a process has."""
+        return self._load.age * self._rng.uniform(0.5, 1.5)
 
-    def engine(self, known: Engine) -> SimulatedEngine:
-        """Find the engine that was chosen."""
-        return next(one for one in self.ready if one.engine is known)
+    def find(self, engine: Engine) -> SimulatedEngine:
+        """Return the simulated engine of a ready engine."""
+        return next(found for found in self.ready if found.engine is engine)
 
-    def lose(self) -> None:
-        """Have a share of the engines take no more requests."""
+    def lose_engines(self) -> None:
+        """Make a random share of the engines unavailable."""
         count = round(len(self.engines) * self._load.lost_share)
-        for engine in self._chance.sample(self.engines, count):
+        for engine in self._rng.sample(self.engines, count):
             self.ready.remove(engine)
 
 
 def hall_name(number: int) -> DataHall:
-    """Name a data hall."""
+    """Return the name of a data hall by its number."""
     return DataHall(f'hall-{number}')
 
 
-def _pace(load: Load, number: int, seed: int) -> SimulatedPace | None:
+def _make_speed(load: Load, number: int, seed: int) -> SimulatedSpeed | None:
     if load.uneven is None:
         return None
-    return SimulatedPace(load.uneven, number, f'pace {seed}')
+    return SimulatedSpeed(load.uneven, number, f'pace {seed}')
 
 
-def _engine(hall: int, number: int, slots: int) -> Engine:
+def _make_engine(hall: int, number: int, slots: int) -> Engine:
     return Engine(
         EngineId(f'engine-{hall}-{number}'),
         ServiceName('chat'),
--- a/testing/src/bendlead_testing/replay/_load.py
+++ b/testing/src/bendlead_testing/replay/_load.py
@@ -1,4 +1,4 @@
-"""What comes and what serves it, and what became of it."""
+"""Loads to replay and the tally of their outcomes."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -7,111 +7,115 @@
 
 @dataclass(frozen=True)
 class Uneven:
-    """Describe how engines differ in speed. Times are in seconds."""
+    """Differences in speed between engines. Times are in seconds."""
 
-    #: Times the usual time for a step, given to the engines in turn.
+    #: Step durations relative to the usual one, assigned to engines in turn.
     speeds: Sequence[float] = (1.0,)
-    #: What each further request that runs adds to a step, as a share.
+    #: Relative slowdown of a step by each further running request.
     per_running: float = 0.03
-    #: Share of the time for which an engine stalls, how much slower it then
-    #: is, and for how long.
+    #: Share of time in which an engine stalls, its slowdown while stalled,
+    #: and the duration of a stall.
     stalled: float = 0.0
     stall_factor: float = 2.5
     stall_seconds: float = 0.6
-    #: The first engine is this much slower for a while.
+    #: Slowdown of the first engine between two times.
     turns_slow: float = 1.0
     slow_from: float = 5.0
     slow_until: float = 10.0
-    #: Whether entries learn; else each has its own moving averages alone.
+    #: Whether entries estimate speeds and exchange the estimates; otherwise
+    #: each uses only its own moving averages.
     learns: bool = True
-    #: Entries hear nothing of engines' paces from one time to another.
+    #: Times between which estimates do not reach other entries.
     unheard_from: float = 1000
     unheard_until: float = 1000
-    #: When every entry starts again, and when every engine does, with the
-    #: speed of the next one.
+    #: Times at which all entries restart, and all engines; a restarted engine
+    #: has the speed of the next one.
     entries_restart_at: float = 1000
     engines_restart_at: float = 1000
 
 
 @dataclass(frozen=True)
 class Load:
-    """Describe what comes, and what serves it. Times are in seconds."""
+    """Requests, jobs and the fleet that serves them. Times are in seconds."""
 
-    #: Engines and clients' share of each data hall.
+    #: Number of engines in each data hall, and weight of its clients.
     engines: Sequence[int] = (8, 7, 7, 8, 7)
     clients: Sequence[float] = (1, 1, 1, 1, 1)
     slots: int = 7
     entries: int = 58
-    #: Processes that run items, each those of its own jobs.
+    #: Number of shard owners; jobs are assigned to them in turn.
     owners: int = 1
-    #: Whether items give places back while requests are refused.
+    #: Whether items are held back while online requests are refused.
     holds_back: bool = False
-    #: Requests a second on average, and jobs a second.
+    #: Mean number of online requests and of jobs per second.
     online: float = 174
     jobs: float = 2.2
+    #: Items of each job.
     items: int = 10
-    #: Begin and factor of each phase of one period of the online load.
+    #: Start and rate factor of each phase in a period of the online load.
     phases: Sequence[tuple[float, float]] = ((0, 0.377), (3.8, 1.84))
     period: float = 6.6
     run: float = 0.7
     item_run: float = 4.75
     aim: float = 0.3
     patience: float = 5.0
-    #: Share by which items differ in length.
+    #: Relative spread of the duration of items.
     item_spread: float = 0.4
     item_due: float = 18.0
+    #: Mean age of the counts that processes report to one another.
     age: float = 0.05
-    #: When a share of the engines takes no more requests.
+    #: Time at which a share of the engines becomes unavailable.
     lost_at: float = 1000
     lost_share: float = 0.0
-    #: The share of the entries that hear only one another.
+    #: Share of entries that exchange reports only with one another.
     apart: float = 0.0
     length: float = 24.0
-    #: How engines differ in speed; nothing where they are all alike.
+    #: Differences in speed, none where all engines are alike.
     uneven: Uneven | None = None
 
     def factor(self, now: float) -> float:
-        """Give the factor of the online load at a time."""
-        into = now % self.period
-        return [factor for begin, factor in self.phases if begin <= into][-1]
+        """Return the rate factor of the online load at a time."""
+        elapsed = now % self.period
+        return [factor for start, factor in self.phases if start <= elapsed][-1]
 
 
 @dataclass
 class Tally:
-    """Count how requests and items ended."""
+    """Outcomes of requests and items."""
 
     online: Counter[str] = field(default_factory=Counter)
     by_hall: list[Counter[str]] = field(default_factory=list)
     items: Counter[str] = field(default_factory=Counter)
+    #: Preempted item runs.
     stops: int = 0
-    #: Of the stops, those for requests that were refused.
+    #: Those that were preempted because online requests were refused.
     held_back: int = 0
 
     @property
     def in_time(self) -> float:
-        """Give the share of online requests that began within the aim."""
+        """Return the share of online requests within the latency target."""
         return _share(self.online, 'in_time')
 
     @property
     def lost(self) -> float:
-        """Give the share of online requests that nobody served."""
+        """Return the share of online requests that were never served."""
         return _share(self.online, 'lost')
 
     @property
     def refused(self) -> float:
-        """Give the share of online requests refused at their first try."""
+        """Return the share of requests served late after a refusal."""
         return _share(self.online, 'refused')
 
     @property
     def items_in_time(self) -> float:
-        """Give the share of items that were whole when due."""
+        """Return the share of items that were complete when due."""
         return _share(self.items, 'in_time')
 
     @property
     def worst_hall(self) -> float:
-        """Give the share in time of the hall that is served worst."""
-        return min(_share(one, 'in_time') for one in self.by_hall)
+        """Return the lowest share in time of any data hall."""
+        return min(_share(counts, 'in_time') for counts in self.by_hall)
 
 
-def _share(counts: Counter[str], ending: str) -> float:
-    return counts[ending] / max(1, counts.total())
+def _share(counts: Counter[str], outcome: str) -> float:
+    return counts[outcome] / max(1, counts.total())
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -1,4 +1,4 @@
-"""A simulated owner: it runs the items of its jobs in idle places."""
+"""Simulated shard owners, which run batch items in idle slots."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
@@ -25,47 +25,50 @@
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway.types import EngineId, NodeName
 
-from bendlead_testing.replay._entries import FIRST_EVENT
+from bendlead_testing.replay._entries import FIRST_EVENT_SECONDS
 from bendlead_testing.replay._fleet import SimulatedFleet
 from bendlead_testing.replay._load import Load, Tally
-from bendlead_testing.replay._simulated import Clock, Run
+from bendlead_testing.replay._simulated import Run, SimulatedClock
 
-#: Seconds between two looks of an owner for places.
+#: Interval at which an owner schedules its items.
 ROUND_SECONDS = 0.025
-#: An item that was stopped at its very end runs for this long (s) again.
-_SHORTEST_RUN = 0.02
+#: Shortest run of an item, as where it was preempted just before its end.
+_MIN_RUN_SECONDS = 0.02
 
 
 @dataclass(eq=False)
 class Item:
-    """Keep how far an item of a job has come."""
+    """Batch item and its progress."""
 
+    #: Duration of an uninterrupted run.
     seconds: float
-    accepted: float
-    done: float = 0
-    spent: float = 0
-    begun: float | None = None
+    accepted_at: float
+    #: Part of the duration that earlier runs have completed.
+    done_seconds: float = 0
+    #: Time spent in earlier runs.
+    run_seconds: float = 0
+    started_at: float | None = None
     run: Run | None = None
-    whole: float | None = None
+    completed_at: float | None = None
 
 
 @dataclass(frozen=True)
 class _OwnerItems:
-    """Keep what one owner knows of the items of another."""
+    """Running items of another owner, as it reported them."""
 
     batch: Mapping[EngineId, int]
     quiet: bool = False
 
 
 class SimulatedOwner:
-    """Start, stop and finish the runs of its items."""
+    """Shard owner that starts and preempts the runs of its items."""
 
     def __init__(
         self,
         number: int,
         load: Load,
         fleet: SimulatedFleet,
-        clock: Clock,
+        clock: SimulatedClock,
         tally: Tally,
     ) -> None:
         self._number = number
@@ -75,175 +78,195 @@
         self._tally = tally
         self._traffic = Traffic(load.run, load.age)
         self._precedence = Precedence(_owner_name(number))
-        self._pace = ItemDurations()
+        self._durations = ItemDurations()
         self.items: list[Item] = []
-        self._look_again_at = 0.0
-        self._places_for_late: int | None = None
+        self._next_update_at = 0.0
+        self._urgent_slots: int | None = None
 
-    def look(self) -> None:
-        """Look for places, and again after each pause."""
+    def run_rounds(self) -> None:
+        """Preempt and start items now and at each interval."""
         views = self._views()
-        kept = reserved_slots(views, self._traffic)
-        self._meet()
-        self._step_aside(views, kept)
+        reserved = reserved_slots(views, self._traffic)
+        self._update_precedence()
+        self._preempt(views, reserved)
         self._hold_back(views)
-        self._look_at_work()
-        self._start_items(self._views(), kept)
-        self._clock.after(ROUND_SECONDS, self.look)
+        self._update_durations()
+        self._start_items(self._views(), reserved)
+        self._clock.call_later(ROUND_SECONDS, self.run_rounds)
 
-    def _look_at_work(self) -> None:
-        if self._clock.now < self._look_again_at:
+    def _update_durations(self) -> None:
+        if self._clock.now < self._next_update_at:
             return
-        self._look_again_at = self._clock.now + UPDATE_INTERVAL_SECONDS
-        unfinished = [one for one in self.items if one.whole is None]
-        held = sum(one.run is not None for one in unfinished)
-        self._pace.update_work([self._spent(one) for one in unfinished], held)
+        self._next_update_at = self._clock.now + UPDATE_INTERVAL_SECONDS
+        unfinished = [item for item in self.items if item.completed_at is None]
+        running = sum(item.run is not None for item in unfinished)
+        self._durations.update_work(
+            [self._total_run_seconds(item) for item in unfinished], running
+        )
 
-    def _spent(self, item: Item) -> float:
-        running = self._held(item.run) if item.run is not None else 0
-        return item.spent + running
+    def _total_run_seconds(self, item: Item) -> float:
+        current = self._elapsed(item.run) if item.run is not None else 0
+        return item.run_seconds + current
 
     def _views(self) -> Sequence[EngineView]:
-        """Show the engines as this owner knows them."""
-        past = self._fleet.past(self._fleet.draw_age())
+        """Return the engines with the counts that this owner has of them."""
+        snapshot = self._fleet.snapshot(self._fleet.draw_age())
         return [
             EngineView(
-                one.engine,
-                online=past.online[False][number],
-                batch=one.batch[self._number]
+                engine.engine,
+                online=snapshot.online[False][number],
+                batch=engine.batch[self._number]
                 + sum(
                     counts[number]
-                    for owner, counts in enumerate(past.batch)
+                    for owner, counts in enumerate(snapshot.batch)
                     if owner != self._number
                 ),
             )
-            for number, one in enumerate(self._fleet.engines)
-            if one in self._fleet.ready
+            for number, engine in enumerate(self._fleet.engines)
+            if engine in self._fleet.ready
         ]
 
-    def _meet(self) -> None:
-        """Take the items of the other owners, as they were."""
-        names = [one.engine.engine for one in self._fleet.engines]
-        past = self._fleet.past(self._load.age)
+    def _update_precedence(self) -> None:
+        """Receive the other owners' reports of their running items."""
+        names = [engine.engine.engine for engine in self._fleet.engines]
+        snapshot = self._fleet.snapshot(self._load.age)
         self._precedence.update_others(
             {
                 _owner_name(number): _OwnerItems(
                     dict(zip(names, counts, strict=True))
                 )
-                for number, counts in enumerate(past.batch)
+                for number, counts in enumerate(snapshot.batch)
                 if number != self._number and any(counts)
             }
         )
 
-    def _step_aside(self, views: Sequence[EngineView], kept: int) -> None:
+    def _preempt(self, views: Sequence[EngineView], reserved: int) -> None:
         for view in views:
-            mine = [
-                one
-                for one in self.items
-                if one.run and one.run.engine.engine is view.engine
+            own_items = [
+                item
+                for item in self.items
+                if item.run and item.run.engine.engine is view.engine
             ]
             before = self._precedence.items_before(view.name)
-            over = runs_to_preempt(view, len(mine), kept, before)
-            mine.sort(key=self._urgency)
-            for item in mine[len(mine) - over :]:
+            excess = runs_to_preempt(view, len(own_items), reserved, before)
+            own_items.sort(key=self._urgency)
+            for item in own_items[len(own_items) - excess :]:
                 self._stop(item)
 
     def _hold_back(self, views: Sequence[EngineView]) -> None:
-        """Give places back while online requests are refused."""
-        refused = self._clock.now - self._load.age - self._fleet.refused_at
-        slots = sum(one.slots for one in views)
-        online = sum(one.online for one in views)
-        lack = (
+        """Preempt items while online requests are refused for lack of slots.
+
+        Urgent items keep running in some of the slots.
+        """
+        refused_seconds = (
+            self._clock.now - self._load.age - self._fleet.last_refused_at
+        )
+        slots = sum(view.slots for view in views)
+        online = sum(view.online for view in views)
+        lacks_slots = (
             self._load.holds_back
-            and refused_recently(refused)
+            and refused_recently(refused_seconds)
             and may_lack_slots(online, slots)
         )
-        places = slots_for_urgent_items(slots, self._precedence.owners)
-        self._places_for_late = places if lack else None
-        runs = [one for one in self.items if one.run]
-        runs.sort(key=self._urgency)
-        for item in runs if lack else ():
-            if places and self._wait(item) is ItemTiming.NOW:
-                places -= 1
+        urgent_slots = slots_for_urgent_items(slots, self._precedence.owners)
+        self._urgent_slots = urgent_slots if lacks_slots else None
+        running = [item for item in self.items if item.run]
+        running.sort(key=self._urgency)
+        for item in running if lacks_slots else ():
+            if urgent_slots and self._timing(item) is ItemTiming.NOW:
+                urgent_slots -= 1
             else:
                 self._stop(item)
                 self._tally.held_back += 1
 
     def _may_start(self, item: Item) -> bool:
-        most = self._places_for_late
-        if most is None:
+        urgent_slots = self._urgent_slots
+        if urgent_slots is None:
             return True
-        running = sum(one.run is not None for one in self.items)
-        return running < most and self._wait(item) is ItemTiming.NOW
+        running = sum(other.run is not None for other in self.items)
+        return running < urgent_slots and self._timing(item) is ItemTiming.NOW
 
-    def _wait(self, item: Item) -> ItemTiming:
-        age = self._clock.now - item.accepted
+    def _timing(self, item: Item) -> ItemTiming:
+        age = self._clock.now - item.accepted_at
         return item_timing(
-            self._pace.spare(age, self._spent(item), self._load.item_due)
+            self._durations.spare(
+                age, self._total_run_seconds(item), self._load.item_due
+            )
         )
 
     def _stop(self, item: Item) -> None:
         run = item.run
         assert run is not None
-        held = self._held(run)
-        item.spent += held
-        item.done += held
+        elapsed = self._elapsed(run)
+        item.run_seconds += elapsed
+        item.done_seconds += elapsed
         item.run = None
         self._tally.stops += 1
-        run.engine.drop(run)
+        run.engine.remove(run)
 
-    def _held(self, run: Run) -> float:
-        return self._clock.now - run.began if run.began is not None else 0
+    def _elapsed(self, run: Run) -> float:
+        return (
+            self._clock.now - run.started_at
+            if run.started_at is not None
+            else 0
+        )
 
-    def _start_items(self, views: Sequence[EngineView], kept: int) -> None:
-        places = self._places(views, kept)
-        waiting = [
-            one for one in self.items if not one.run and one.whole is None
+    def _start_items(self, views: Sequence[EngineView], reserved: int) -> None:
+        slots = self._item_slots(views, reserved)
+        ready = [
+            item
+            for item in self.items
+            if not item.run and item.completed_at is None
         ]
-        waiting.sort(key=self._urgency)
-        for item in waiting:
-            age = (self._clock.now - item.accepted) / self._load.item_due
+        ready.sort(key=self._urgency)
+        for item in ready:
+            age = (self._clock.now - item.accepted_at) / self._load.item_due
             if not self._may_start(item):
                 continue
-            view = places.take(age)
+            view = slots.take(age)
             if view is None:
                 return
             self._start(item, view)
 
-    def _places(self, views: Sequence[EngineView], kept: int) -> ItemSlots:
-        led = {
-            one.name for one in views if self._precedence.comes_first(one.name)
+    def _item_slots(
+        self, views: Sequence[EngineView], reserved: int
+    ) -> ItemSlots:
+        first_on = {
+            view.name
+            for view in views
+            if self._precedence.comes_first(view.name)
         }
-        return ItemSlots(views, kept, led)
+        return ItemSlots(views, reserved, first_on)
 
     def _start(self, item: Item, view: EngineView) -> None:
-        engine = self._fleet.engine(view.engine)
+        engine = self._fleet.find(view.engine)
         run = Run(
             engine,
-            max(_SHORTEST_RUN, item.seconds - item.done) + FIRST_EVENT,
+            max(_MIN_RUN_SECONDS, item.seconds - item.done_seconds)
+            + FIRST_EVENT_SECONDS,
             None,
-            lambda _began: None,
-            lambda ended: self._finish(item, ended),
+            lambda _started_at: None,
+            lambda ended_at: self._complete(item, ended_at),
             owner=self._number,
         )
         item.run = run
-        if item.begun is None:
-            item.begun = self._clock.now
+        if item.started_at is None:
+            item.started_at = self._clock.now
         engine.add(run)
 
-    def _finish(self, item: Item, ended: float) -> None:
-        assert item.run is not None and item.begun is not None
-        item.spent += self._held(item.run)
+    def _complete(self, item: Item, ended_at: float) -> None:
+        assert item.run is not None and item.started_at is not None
+        item.run_seconds += self._elapsed(item.run)
         item.run = None
-        item.whole = ended
-        self._pace.observe(item.spent, ended - item.begun)
+        item.completed_at = ended_at
+        self._durations.observe(item.run_seconds, ended_at - item.started_at)
 
     def _urgency(self, item: Item) -> Urgency:
-        age = self._clock.now - item.accepted
-        return self._pace.urgency(
-            item.accepted,
+        age = self._clock.now - item.accepted_at
+        return self._durations.urgency(
+            item.accepted_at,
             age,
-            self._spent(item),
+            self._total_run_seconds(item),
             self._load.item_due,
         )
 
--- a/testing/src/bendlead_testing/replay/_play.py
+++ b/testing/src/bendlead_testing/replay/_play.py
@@ -1,4 +1,4 @@
-"""One load, played from its begin to the last item that is due."""
+"""Replay of one load."""
 
 import itertools
 import random
@@ -12,73 +12,74 @@
     Item,
     SimulatedOwner,
 )
-from bendlead_testing.replay._simulated import Clock
+from bendlead_testing.replay._simulated import SimulatedClock
 
 
 class Replay:
-    """Play one load."""
+    """Replay of one load until the last item is due."""
 
     def __init__(self, load: Load, seed: int) -> None:
         self._load = load
-        # Whatever is decided, the same requests and jobs come.
-        self._jobs = random.Random(f'jobs {seed}')
-        chance = random.Random(seed)
-        self._clock = Clock()
-        self._fleet = SimulatedFleet(load, self._clock, chance, seed)
+        # Separate generators, so that requests and jobs depend on the seed
+        # alone and not on the decisions.
+        self._job_rng = random.Random(f'jobs {seed}')
+        rng = random.Random(seed)
+        self._clock = SimulatedClock()
+        self._fleet = SimulatedFleet(load, self._clock, rng, seed)
         self.tally = Tally(by_hall=[Counter() for _hall in load.engines])
         self._entries = SimulatedEntries(
             load,
             self._fleet,
             self._clock,
             random.Random(f'requests {seed}'),
-            chance,
+            rng,
             self.tally,
         )
         self._owners = [
             SimulatedOwner(number, load, self._fleet, self._clock, self.tally)
             for number in range(load.owners)
         ]
-        self._turns = itertools.cycle(self._owners)
+        self._next_owner = itertools.cycle(self._owners)
 
     def play(self) -> Tally:
-        """Play to the end and count."""
+        """Run the replay and return its tally."""
         load = self._load
-        self._fleet.tick()
+        self._fleet.record_snapshots()
         for number, owner in enumerate(self._owners):
-            begin = number * ROUND_SECONDS / load.owners
-            self._clock.after(begin, owner.look)
-        self._entries.arrive()
-        self._submit()
-        self._clock.after(load.lost_at, self._fleet.lose)
+            delay = number * ROUND_SECONDS / load.owners
+            self._clock.call_later(delay, owner.run_rounds)
+        self._entries.generate_requests()
+        self._generate_jobs()
+        self._clock.call_later(load.lost_at, self._fleet.lose_engines)
         self._clock.run(load.length + load.item_due)
         for owner in self._owners:
             for item in owner.items:
                 self._count(item)
         return self.tally
 
-    def _submit(self) -> None:
-        """Let a job come, and the next ones after pauses."""
+    def _generate_jobs(self) -> None:
+        """Submit a job and schedule the next one."""
         now = self._clock.now
         if now < self._load.length:
             if now:
                 self._add_job(now)
-            pause = self._jobs.expovariate(self._load.jobs)
-            self._clock.after(pause, self._submit)
+            pause = self._job_rng.expovariate(self._load.jobs)
+            self._clock.call_later(pause, self._generate_jobs)
 
     def _add_job(self, now: float) -> None:
-        owner = next(self._turns)
+        owner = next(self._next_owner)
         for _item in range(self._load.items):
-            seconds = self._load.item_run * _draw(
-                self._jobs, self._load.item_spread
+            seconds = self._load.item_run * _draw_factor(
+                self._job_rng, self._load.item_spread
             )
             owner.items.append(Item(seconds, now))
 
     def _count(self, item: Item) -> None:
-        due = item.accepted + self._load.item_due
-        whole = item.whole is not None and item.whole <= due
-        self.tally.items['in_time' if whole else 'late'] += 1
+        due = item.accepted_at + self._load.item_due
+        in_time = item.completed_at is not None and item.completed_at <= due
+        self.tally.items['in_time' if in_time else 'late'] += 1
 
 
-def _draw(chance: random.Random, spread: float) -> float:
-    """Draw a factor that differs from 1 by a share at most."""
-    return chance.uniform(1 - spread, 1 + spread)
+def _draw_factor(rng: random.Random, spread: float) -> float:
+    """Draw a factor that differs from 1 by at most `spread`."""
+    return rng.uniform(1 - spread, 1 + spread)
--- a/testing/src/bendlead_testing/replay/_simulated.py
+++ b/testing/src/bendlead_testing/replay/_simulated.py
@@ -8,111 +8,119 @@
 
 from bendlead_gateway.types import Engine
 
-from bendlead_testing.replay._pace import SimulatedPace
+from bendlead_testing.replay._speed import SimulatedSpeed
 
 
 @dataclass(eq=False)
 class Run:
-    """Keep one request or item at an engine."""
+    """Execution of a request or an item on an engine."""
 
     engine: 'SimulatedEngine'
+    #: Duration at the usual speed.
     seconds: float
+    #: Number of the entry that sent the request, none for an item.
     entry: int | None
-    on_begin: Callable[[float], None]
+    on_start: Callable[[float], None]
     on_end: Callable[[float], None]
-    apart: bool = False
+    #: Whether the entry is cut off from the other entries.
+    partitioned: bool = False
     owner: int = 0
-    sent: float = 0
-    began: float | None = None
-    over: bool = False
+    sent_at: float = 0
+    started_at: float | None = None
+    ended: bool = False
 
 
 class SimulatedEngine:
-    """Run so many at once and queue the others in order."""
+    """Engine that runs as many requests as it has slots and queues the rest."""
 
     def __init__(
-        self, engine: Engine, clock: 'Clock', pace: SimulatedPace | None = None
+        self,
+        engine: Engine,
+        clock: 'SimulatedClock',
+        speed: SimulatedSpeed | None = None,
     ) -> None:
         self.engine = engine
-        self.pace = pace
+        self.speed = speed
         self._clock = clock
         self.running: set[Run] = set()
         self._queue: deque[Run] = deque()
-        #: By whether the entry is one of those that hear only one another.
+        #: Requests by whether their entry is cut off from the others.
         self.online = {True: 0, False: 0}
-        #: By owner.
+        #: Items by owner.
         self.batch: Counter[int] = Counter()
 
     @property
     def load(self) -> int:
-        """Count the runs that were sent here and have not ended."""
+        """Count the running and queued runs."""
         return len(self.running) + len(self._queue)
 
-    def factor(self, now: float) -> float:
-        """Give how many times the usual a step takes now."""
-        if self.pace is None:
+    def step_factor(self, now: float) -> float:
+        """Return the duration of a decode step relative to the usual one."""
+        if self.speed is None:
             return 1.0
-        return self.pace.factor(now, max(1, len(self.running)))
+        return self.speed.step_factor(now, max(1, len(self.running)))
 
     def add(self, run: Run) -> None:
-        """Take a run."""
-        run.sent = self._clock.now
+        """Queue a run and start it if a slot is free."""
+        run.sent_at = self._clock.now
         if run.entry is None:
             self.batch[run.owner] += 1
         else:
-            self.online[run.apart] += 1
+            self.online[run.partitioned] += 1
         self._queue.append(run)
         self._fill()
 
-    def drop(self, run: Run) -> None:
-        """End a run, whole or not."""
-        if run.over:
+    def remove(self, run: Run) -> None:
+        """End a run, complete or not, and free its slot."""
+        if run.ended:
             return
-        run.over = True
+        run.ended = True
         if run.entry is None:
             self.batch[run.owner] -= 1
         else:
-            self.online[run.apart] -= 1
+            self.online[run.partitioned] -= 1
         self.running.discard(run)
         self._fill()
 
     def _fill(self) -> None:
         while self._queue and len(self.running) < self.engine.slots:
             run = self._queue.popleft()
-            if not run.over:
-                self._begin(run)
+            if not run.ended:
+                self._start(run)
 
-    def _begin(self, run: Run) -> None:
-        run.began = self._clock.now
+    def _start(self, run: Run) -> None:
+        run.started_at = self._clock.now
         self.running.add(run)
-        run.on_begin(self._clock.now)
+        run.on_start(self._clock.now)
         seconds = run.seconds
-        if self.pace is not None:
-            seconds = self.pace.lasts(run.began, seconds, len(self.running))
-        self._clock.after(seconds, lambda: self._end(run))
-
-    def _end(self, run: Run) -> None:
-        if not run.over:
-            self.drop(run)
+        if self.speed is not None:
+            seconds = self.speed.run_duration(
+                run.started_at, seconds, len(self.running)
+            )
+        self._clock.call_later(seconds, lambda: self._finish(run))
+
+    def _finish(self, run: Run) -> None:
+        if not run.ended:
+            self.remove(run)
             run.on_end(self._clock.now)
 
 
-class Clock:
-    """Call back in the order of simulated time."""
+class SimulatedClock:
+    """Event queue that makes calls in the order of simulated time."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
+        self._calls: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
 
-    def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Call once, some seconds from now."""
-        due = (self.now + seconds, next(self._numbers), call)
-        heapq.heappush(self._due, due)
+    def call_later(self, seconds: float, call: Callable[[], None]) -> None:
+        """Schedule one call in `seconds` from now."""
+        scheduled = (self.now + seconds, next(self._numbers), call)
+        heapq.heappush(self._calls, scheduled)
 
     def run(self, until: float) -> None:
-        """Make all calls that are due until then."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _number, call = heapq.heappop(self._due)
+        """Make all calls that are due by `until` and advance to it."""
+        while self._calls and self._calls[0][0] <= until:
+            self.now, _number, call = heapq.heappop(self._calls)
             call()
         self.now = until
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -26,11 +26,11 @@
 from bendlead_gateway._teams.shares import TeamShares
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
 
-from bendlead_testing.replay._entries import FIRST_EVENT
+from bendlead_testing.replay._entries import FIRST_EVENT_SECONDS
 from bendlead_testing.replay._fleet import SimulatedFleet
 from bendlead_testing.replay._load import Load, Tally
 from bendlead_testing.replay._owner import Item, SimulatedOwner
-from bendlead_testing.replay._simulated import Clock, Run
+from bendlead_testing.replay._simulated import Run, SimulatedClock
 
 #: Entries tell their counts of teams this often (s).
 _TELL_SECONDS = 0.1
@@ -239,7 +239,7 @@
         self._room = room
         self._requests = random.Random(f'requests {seed}')
         self._chance = random.Random(seed)
-        self._clock = Clock()
+        self._clock = SimulatedClock()
         self.tally = TurnTally([Counter() for _team in load.teams])
         fleet_load = Load(
             engines=(load.engines,),
@@ -269,15 +269,15 @@
         """Play to the end and count."""
         load = self.load
         self._start_entries()
-        self._fleet.tick()
+        self._fleet.record_snapshots()
         if load.jobs:
-            self._owner.look()
+            self._owner.run_rounds()
             self._add_job()
         if load.teams_age < math.inf:
             self._tell()
-        self._clock.after(load.lost[0], self._fleet.lose)
-        self._clock.after(load.lost[1], self._find)
-        self._clock.after(load.restart_at, self._start_entries)
+        self._clock.call_later(load.lost[0], self._fleet.lose_engines)
+        self._clock.call_later(load.lost[1], self._find)
+        self._clock.call_later(load.restart_at, self._start_entries)
         self._arrive()
         self._clock.run(load.seconds + load.patience + 2)
         return self.tally
@@ -300,7 +300,7 @@
             for _item in range(10):
                 self._owner.items.append(Item(4.75, self._clock.now))
             pause = self._requests.expovariate(self.load.jobs)
-            self._clock.after(pause, self._add_job)
+            self._clock.call_later(pause, self._add_job)
 
     def _tell(self) -> None:
         """Have all entries tell all others what they let through."""
@@ -317,8 +317,8 @@
                         name = NodeName(f'e-{other}')
                         entry.limits.receive(name, counts, version, said)
 
-        self._clock.after(self.load.teams_age, hear)
-        self._clock.after(_TELL_SECONDS, self._tell)
+        self._clock.call_later(self.load.teams_age, hear)
+        self._clock.call_later(_TELL_SECONDS, self._tell)
 
     def _arrive(self) -> None:
         load = self.load
@@ -337,7 +337,7 @@
             seconds = load.run * self._requests.uniform(0.6, 1.4)
             self._try(_Asked(team, now, seconds))
         pause = self._requests.expovariate(sum(rates) or 10)
-        self._clock.after(min(pause, 0.2) if now else pause, self._arrive)
+        self._clock.call_later(min(pause, 0.2) if now else pause, self._arrive)
 
     def _entry_for(self, team: int) -> _Entry:
         if self.load.reached is not None:
@@ -394,13 +394,13 @@
             self._count(asked, otherwise)
             return
         pause = min(later, left * _LONGEST_HINT)
-        self._clock.after(pause, lambda: self._try(asked))
+        self._clock.call_later(pause, lambda: self._try(asked))
 
     def _left(self, asked: _Asked) -> float:
         return self.load.patience - (self._clock.now - asked.first)
 
     def _choose(self) -> placement.Placement:
-        past = self._fleet.past(self._fleet.draw_age())
+        past = self._fleet.snapshot(self._fleet.draw_age())
         batch = [sum(counts) for counts in zip(*past.batch, strict=True)]
         views = [
             EngineView(one.engine, past.online[False][number], batch[number])
@@ -414,7 +414,7 @@
         return chosen
 
     def _send(self, asked: _Asked, view: EngineView, entry: _Entry) -> None:
-        engine = self._fleet.engine(view.engine)
+        engine = self._fleet.find(view.engine)
         engine.add(
             Run(
                 engine,
@@ -426,7 +426,7 @@
         )
 
     def _first(self, asked: _Asked, began: float) -> None:
-        now = began + FIRST_EVENT + _WAY
+        now = began + FIRST_EVENT_SECONDS + _WAY
         if now - asked.came > _SILENCE_SECONDS:
             self.tally.held_for_nothing += _SILENCE_SECONDS
             self._count(asked, 'lost')
@@ -460,7 +460,7 @@
         self.tally.most_held = max(self.tally.most_held, len(entry.waiting))
         if not entry.looking:
             entry.looking = True
-            self._clock.after(_LOOK_SECONDS, lambda: self._look(entry))
+            self._clock.call_later(_LOOK_SECONDS, lambda: self._look(entry))
         return True
 
     def _look(self, entry: _Entry) -> None:
@@ -474,7 +474,7 @@
                 self._send(entry.waiting.pop(released), chosen.view, entry)
         entry.looking = bool(entry.waiting)
         if entry.looking:
-            self._clock.after(_LOOK_SECONDS, lambda: self._look(entry))
+            self._clock.call_later(_LOOK_SECONDS, lambda: self._look(entry))
 
     def _leave(self, entry: _Entry, held: QueuedRequest) -> None:
         entry.rules.remove(held)
