--- a/testing/src/bendlead_testing/replay/__init__.py
+++ b/testing/src/bendlead_testing/replay/__init__.py
@@ -6,7 +6,7 @@
 the network are simulated.
 """
 
-from bendlead_testing.replay._load import Load, Tally, Uneven
+from bendlead_testing.replay._load import Load, SpeedVariation, Tally
 from bendlead_testing.replay._play import Replay
 
-__all__ = ('Load', 'Replay', 'Tally', 'Uneven')
+__all__ = ('Load', 'Replay', 'SpeedVariation', 'Tally')
--- a/testing/src/bendlead_testing/replay/_entries.py
+++ b/testing/src/bendlead_testing/replay/_entries.py
@@ -51,19 +51,19 @@
         self._request_rng = request_rng
         self._rng = rng
         self._tally = tally
-        self._traffic = placement.Traffic(load.run, load.age)
+        self._traffic = placement.Traffic(load.run_seconds, load.report_age)
         self._estimates: EntryEstimates | None = None
-        if load.uneven is not None:
+        if load.speed_variation is not None:
             self._estimates = EntryEstimates(
-                load.uneven, load.entries, load.age, clock
+                load.speed_variation, load.entries, load.report_age, clock
             )
         self._runs: list[list[Run]] = [[] for _entry in range(load.entries)]
 
     def generate_requests(self) -> None:
         """Send a request and schedule the next one."""
         now = self._clock.now
-        if now < self._load.length:
-            rate = self._load.online * self._load.factor(now)
+        if now < self._load.duration:
+            rate = self._load.online_rate * self._load.rate_factor(now)
             if now:
                 self._add_request()
             # Bounded, as the rate may rise with the next phase.
@@ -72,8 +72,8 @@
 
     def _add_request(self) -> None:
         halls = range(len(self._load.engines))
-        hall = self._request_rng.choices(halls, self._load.clients)[0]
-        seconds = self._load.run * self._request_rng.uniform(0.6, 1.4)
+        hall = self._request_rng.choices(halls, self._load.client_weights)[0]
+        seconds = self._load.run_seconds * self._request_rng.uniform(0.6, 1.4)
         self._attempt(_Request(hall, self._clock.now, seconds))
 
     def _attempt(self, request: _Request) -> None:
@@ -84,9 +84,9 @@
             views, self._traffic_at(entry), self._rng.random
         )
         assert chosen is not None
-        remaining = load.patience - (self._clock.now - request.first_sent_at)
+        remaining = load.timeout - (self._clock.now - request.first_sent_at)
         refusal = admission.check_admission(
-            admission.AdmissionRequest(load.aim, remaining),
+            admission.AdmissionRequest(load.latency_target, remaining),
             chosen.wait,
             self._rng.random,
         )
@@ -135,7 +135,7 @@
         latency = (
             started_at + first_event + _NETWORK_SECONDS - request.first_sent_at
         )
-        in_time = latency <= self._load.aim
+        in_time = latency <= self._load.latency_target
         refused = request.attempts > 1
         self._count(
             request,
@@ -172,7 +172,7 @@
         if self._estimates is None:
             return self._traffic
         run_seconds = self._estimates.run_seconds(entry)
-        return placement.Traffic(run_seconds, self._load.age)
+        return placement.Traffic(run_seconds, self._load.report_age)
 
     def _with_speeds(
         self, entry: int, views: Sequence[EngineView]
@@ -207,4 +207,4 @@
         return own_now, own_reported
 
     def _is_partitioned(self, entry: int) -> bool:
-        return entry < self._load.apart * self._load.entries
+        return entry < self._load.partitioned_share * self._load.entries
--- a/testing/src/bendlead_testing/replay/_fleet.py
+++ b/testing/src/bendlead_testing/replay/_fleet.py
@@ -84,7 +84,7 @@
 
     def draw_age(self) -> float:
         """Draw the age in seconds of the counts that a process has."""
-        return self._load.age * self._rng.uniform(0.5, 1.5)
+        return self._load.report_age * self._rng.uniform(0.5, 1.5)
 
     def find(self, engine: Engine) -> SimulatedEngine:
         """Return the simulated engine of a ready engine."""
@@ -92,7 +92,7 @@
 
     def lose_engines(self) -> None:
         """Make a random share of the engines unavailable."""
-        count = round(len(self.engines) * self._load.lost_share)
+        count = round(len(self.engines) * self._load.engine_loss_share)
         for engine in self._rng.sample(self.engines, count):
             self.ready.remove(engine)
 
@@ -103,9 +103,9 @@
 
 
 def _make_speed(load: Load, number: int, seed: int) -> SimulatedSpeed | None:
-    if load.uneven is None:
+    if load.speed_variation is None:
         return None
-    return SimulatedSpeed(load.uneven, number, f'pace {seed}')
+    return SimulatedSpeed(load.speed_variation, number, f'pace {seed}')
 
 
 def _make_engine(hall: int, number: int, slots: int) -> Engine:
--- a/testing/src/bendlead_testing/replay/_load.py
+++ b/testing/src/bendlead_testing/replay/_load.py
@@ -6,28 +6,28 @@
 
 
 @dataclass(frozen=True)
-class Uneven:
+class SpeedVariation:
     """Differences in speed between engines. Times are in seconds."""
 
     #: Step durations relative to the usual one, assigned to engines in turn.
     speeds: Sequence[float] = (1.0,)
     #: Relative slowdown of a step by each further running request.
-    per_running: float = 0.03
+    slowdown_per_run: float = 0.03
     #: Share of time in which an engine stalls, its slowdown while stalled,
     #: and the duration of a stall.
-    stalled: float = 0.0
+    stall_share: float = 0.0
     stall_factor: float = 2.5
     stall_seconds: float = 0.6
     #: Slowdown of the first engine between two times.
-    turns_slow: float = 1.0
+    slow_factor: float = 1.0
     slow_from: float = 5.0
     slow_until: float = 10.0
     #: Whether entries estimate speeds and exchange the estimates; otherwise
     #: each uses only its own moving averages.
-    learns: bool = True
+    estimates_speeds: bool = True
     #: Times between which estimates do not reach other entries.
-    unheard_from: float = 1000
-    unheard_until: float = 1000
+    reports_lost_from: float = 1000
+    reports_lost_until: float = 1000
     #: Times at which all entries restart, and all engines; a restarted engine
     #: has the speed of the next one.
     entries_restart_at: float = 1000
@@ -40,7 +40,7 @@
 
     #: Number of engines in each data hall, and weight of its clients.
     engines: Sequence[int] = (8, 7, 7, 8, 7)
-    clients: Sequence[float] = (1, 1, 1, 1, 1)
+    client_weights: Sequence[float] = (1, 1, 1, 1, 1)
     slots: int = 7
     entries: int = 58
     #: Number of shard owners; jobs are assigned to them in turn.
@@ -48,32 +48,32 @@
     #: Whether items are held back while online requests are refused.
     holds_back: bool = False
     #: Mean number of online requests and of jobs per second.
-    online: float = 174
-    jobs: float = 2.2
+    online_rate: float = 174
+    job_rate: float = 2.2
     #: Items of each job.
-    items: int = 10
+    items_per_job: int = 10
     #: Start and rate factor of each phase in a period of the online load.
     phases: Sequence[tuple[float, float]] = ((0, 0.377), (3.8, 1.84))
     period: float = 6.6
-    run: float = 0.7
-    item_run: float = 4.75
-    aim: float = 0.3
-    patience: float = 5.0
+    run_seconds: float = 0.7
+    item_run_seconds: float = 4.75
+    latency_target: float = 0.3
+    timeout: float = 5.0
     #: Relative spread of the duration of items.
     item_spread: float = 0.4
-    item_due: float = 18.0
+    completion_window: float = 18.0
     #: Mean age of the counts that processes report to one another.
-    age: float = 0.05
+    report_age: float = 0.05
     #: Time at which a share of the engines becomes unavailable.
-    lost_at: float = 1000
-    lost_share: float = 0.0
+    engine_loss_at: float = 1000
+    engine_loss_share: float = 0.0
     #: Share of entries that exchange reports only with one another.
-    apart: float = 0.0
-    length: float = 24.0
+    partitioned_share: float = 0.0
+    duration: float = 24.0
     #: Differences in speed, none where all engines are alike.
-    uneven: Uneven | None = None
+    speed_variation: SpeedVariation | None = None
 
-    def factor(self, now: float) -> float:
+    def rate_factor(self, now: float) -> float:
         """Return the rate factor of the online load at a time."""
         elapsed = now % self.period
         return [factor for start, factor in self.phases if start <= elapsed][-1]
@@ -87,7 +87,7 @@
     by_hall: list[Counter[str]] = field(default_factory=list)
     items: Counter[str] = field(default_factory=Counter)
     #: Preempted item runs.
-    stops: int = 0
+    preemptions: int = 0
     #: Those that were preempted because online requests were refused.
     held_back: int = 0
 
--- a/testing/src/bendlead_testing/replay/_owner.py
+++ b/testing/src/bendlead_testing/replay/_owner.py
@@ -76,7 +76,7 @@
         self._fleet = fleet
         self._clock = clock
         self._tally = tally
-        self._traffic = Traffic(load.run, load.age)
+        self._traffic = Traffic(load.run_seconds, load.report_age)
         self._precedence = Precedence(_owner_name(number))
         self._durations = ItemDurations()
         self.items: list[Item] = []
@@ -129,7 +129,7 @@
     def _update_precedence(self) -> None:
         """Receive the other owners' reports of their running items."""
         names = [engine.engine.engine for engine in self._fleet.engines]
-        snapshot = self._fleet.snapshot(self._load.age)
+        snapshot = self._fleet.snapshot(self._load.report_age)
         self._precedence.update_others(
             {
                 _owner_name(number): _OwnerItems(
@@ -159,7 +159,9 @@
         Urgent items keep running in some of the slots.
         """
         refused_seconds = (
-            self._clock.now - self._load.age - self._fleet.last_refused_at
+            self._clock.now
+            - self._load.report_age
+            - self._fleet.last_refused_at
         )
         slots = sum(view.slots for view in views)
         online = sum(view.online for view in views)
@@ -190,7 +192,7 @@
         age = self._clock.now - item.accepted_at
         return item_timing(
             self._durations.spare(
-                age, self._total_run_seconds(item), self._load.item_due
+                age, self._total_run_seconds(item), self._load.completion_window
             )
         )
 
@@ -201,7 +203,7 @@
         item.run_seconds += elapsed
         item.done_seconds += elapsed
         item.run = None
-        self._tally.stops += 1
+        self._tally.preemptions += 1
         run.engine.remove(run)
 
     def _elapsed(self, run: Run) -> float:
@@ -220,7 +222,9 @@
         ]
         ready.sort(key=self._urgency)
         for item in ready:
-            age = (self._clock.now - item.accepted_at) / self._load.item_due
+            age = (
+                self._clock.now - item.accepted_at
+            ) / self._load.completion_window
             if not self._may_start(item):
                 continue
             view = slots.take(age)
@@ -267,7 +271,7 @@
             item.accepted_at,
             age,
             self._total_run_seconds(item),
-            self._load.item_due,
+            self._load.completion_window,
         )
 
 
--- a/testing/src/bendlead_testing/replay/_play.py
+++ b/testing/src/bendlead_testing/replay/_play.py
@@ -50,8 +50,8 @@
             self._clock.call_later(delay, owner.run_rounds)
         self._entries.generate_requests()
         self._generate_jobs()
-        self._clock.call_later(load.lost_at, self._fleet.lose_engines)
-        self._clock.run(load.length + load.item_due)
+        self._clock.call_later(load.engine_loss_at, self._fleet.lose_engines)
+        self._clock.run(load.duration + load.completion_window)
         for owner in self._owners:
             for item in owner.items:
                 self._count(item)
@@ -60,22 +60,22 @@
     def _generate_jobs(self) -> None:
         """Submit a job and schedule the next one."""
         now = self._clock.now
-        if now < self._load.length:
+        if now < self._load.duration:
             if now:
                 self._add_job(now)
-            pause = self._job_rng.expovariate(self._load.jobs)
+            pause = self._job_rng.expovariate(self._load.job_rate)
             self._clock.call_later(pause, self._generate_jobs)
 
     def _add_job(self, now: float) -> None:
         owner = next(self._next_owner)
-        for _item in range(self._load.items):
-            seconds = self._load.item_run * _draw_factor(
+        for _item in range(self._load.items_per_job):
+            seconds = self._load.item_run_seconds * _draw_factor(
                 self._job_rng, self._load.item_spread
             )
             owner.items.append(Item(seconds, now))
 
     def _count(self, item: Item) -> None:
-        due = item.accepted_at + self._load.item_due
+        due = item.accepted_at + self._load.completion_window
         in_time = item.completed_at is not None and item.completed_at <= due
         self.tally.items['in_time' if in_time else 'late'] += 1
 
--- a/testing/src/bendlead_testing/replay/_speed.py
+++ b/testing/src/bendlead_testing/replay/_speed.py
@@ -2,7 +2,7 @@
 
 import random
 
-from bendlead_testing.replay._load import Uneven
+from bendlead_testing.replay._load import SpeedVariation
 
 #: Step in which the duration of a run is integrated.
 _STEP_SECONDS = 0.05
@@ -11,22 +11,24 @@
 class SimulatedSpeed:
     """Speed of one engine, with its stalls and slow periods."""
 
-    def __init__(self, uneven: Uneven, number: int, seed: object) -> None:
-        self._uneven = uneven
+    def __init__(
+        self, variation: SpeedVariation, number: int, seed: object
+    ) -> None:
+        self._variation = variation
         self._number = number
         self._seed = seed
 
     def step_factor(self, now: float, running: int = 1) -> float:
         """Return the duration of a decode step relative to the usual one."""
-        uneven = self._uneven
-        number = self._number + (now >= uneven.engines_restart_at)
-        factor = uneven.speeds[number % len(uneven.speeds)]
-        factor *= 1 + uneven.per_running * (running - 1)
+        variation = self._variation
+        number = self._number + (now >= variation.engines_restart_at)
+        factor = variation.speeds[number % len(variation.speeds)]
+        factor *= 1 + variation.slowdown_per_run * (running - 1)
         if self._is_stalled(now):
-            factor *= uneven.stall_factor
-        slow = uneven.slow_from <= now < uneven.slow_until
+            factor *= variation.stall_factor
+        slow = variation.slow_from <= now < variation.slow_until
         if slow and not self._number:
-            factor *= uneven.turns_slow
+            factor *= variation.slow_factor
         return factor
 
     def run_duration(
@@ -43,9 +45,9 @@
             now += _STEP_SECONDS
 
     def _is_stalled(self, now: float) -> bool:
-        uneven = self._uneven
-        if not uneven.stalled:
+        variation = self._variation
+        if not variation.stall_share:
             return False
-        period = int(now / uneven.stall_seconds + self._number / 7)
+        period = int(now / variation.stall_seconds + self._number / 7)
         draw = random.Random(f'{self._seed} {self._number} {period}').random()
-        return draw < uneven.stalled
+        return draw < variation.stall_share
--- a/testing/src/bendlead_testing/replay/_speed_estimates.py
+++ b/testing/src/bendlead_testing/replay/_speed_estimates.py
@@ -8,7 +8,7 @@
 from bendlead_gateway.types import Engine, EngineId, NodeName
 from msgspec.structs import replace
 
-from bendlead_testing.replay._load import Uneven
+from bendlead_testing.replay._load import SpeedVariation
 from bendlead_testing.replay._simulated import Run, SimulatedClock
 
 #: Time between two events of a stream at the usual speed.
@@ -26,15 +26,19 @@
     """
 
     def __init__(
-        self, uneven: Uneven, entries: int, age: float, clock: SimulatedClock
+        self,
+        variation: SpeedVariation,
+        entries: int,
+        age: float,
+        clock: SimulatedClock,
     ) -> None:
-        self._uneven = uneven
+        self._variation = variation
         self._age = age
         self._clock = clock
         self._speeds = [EngineSpeeds() for _entry in range(entries)]
         self._gaps = [PaceTable() for _entry in range(entries)]
-        clock.call_later(uneven.entries_restart_at, self._restart)
-        clock.call_later(uneven.engines_restart_at, self._restart)
+        clock.call_later(variation.entries_restart_at, self._restart)
+        clock.call_later(variation.engines_restart_at, self._restart)
 
     def observe(self, run: Run) -> None:
         """Record the event gap of a run at intervals until it ends."""
@@ -46,7 +50,7 @@
         self._gaps[run.entry].observe_gap(
             engine.engine, EVENT_GAP_SECONDS * factor
         )
-        if self._uneven.learns:
+        if self._variation.estimates_speeds:
             self._speeds[run.entry].observe_event(
                 engine, EVENT_GAP_SECONDS * factor, run.engine.load, now
             )
@@ -60,7 +64,7 @@
             return
         now = self._clock.now
         self._gaps[run.entry].observe_run(now - run.started_at)
-        if not self._uneven.learns:
+        if not self._variation.estimates_speeds:
             return
         engine = self._incarnation(run.engine.engine)
         gap = EVENT_GAP_SECONDS * (now - run.started_at) / run.seconds
@@ -91,9 +95,9 @@
     def _send(
         self, entry: int, engine: Engine, estimate: SpeedEstimate
     ) -> None:
-        uneven = self._uneven
+        variation = self._variation
         now = self._clock.now
-        if uneven.unheard_from <= now < uneven.unheard_until:
+        if variation.reports_lost_from <= now < variation.reports_lost_until:
             return
         observer = NodeName(f'entry-{entry}')
         others = self._speeds[:entry] + self._speeds[entry + 1 :]
@@ -102,7 +106,7 @@
         )
 
     def _incarnation(self, engine: Engine) -> Engine:
-        restarted = self._clock.now >= self._uneven.engines_restart_at
+        restarted = self._clock.now >= self._variation.engines_restart_at
         return replace(engine, born=1) if restarted else engine
 
     def _restart(self) -> None:
--- a/testing/src/bendlead_testing/turn_replay.py
+++ b/testing/src/bendlead_testing/turn_replay.py
@@ -243,12 +243,12 @@
         self.tally = TurnTally([Counter() for _team in load.teams])
         fleet_load = Load(
             engines=(load.engines,),
-            clients=(1,),
+            client_weights=(1,),
             slots=load.slots,
             entries=load.entries,
-            age=load.age,
-            run=load.run,
-            lost_share=load.lost[2],
+            report_age=load.age,
+            run_seconds=load.run,
+            engine_loss_share=load.lost[2],
         )
         self._fleet = SimulatedFleet(
             fleet_load, self._clock, self._chance, seed
--- a/tests/test_gateway_item_preemption.py
+++ b/tests/test_gateway_item_preemption.py
@@ -55,15 +55,15 @@
 #: Items of four owners beside bursts of 1.84 and gaps of 0.377 of the mean.
 _BURSTS = Load(
     engines=(6, 5, 5, 5),
-    clients=(1, 1, 1, 1),
+    client_weights=(1, 1, 1, 1),
     slots=_SLOTS,
     entries=19,
     owners=4,
     holds_back=True,
-    online=95.4,
-    jobs=1.17,
-    aim=0.311,
-    length=26.4,
+    online_rate=95.4,
+    job_rate=1.17,
+    latency_target=0.311,
+    duration=26.4,
 )
 
 
@@ -75,14 +75,16 @@
             ('room_for_all', _BURSTS, 0.985, 0.99),
             (
                 'a_third_of_the_engines_leaves',
-                replace(_BURSTS, lost_at=8, lost_share=0.3),
+                replace(_BURSTS, engine_loss_at=8, engine_loss_share=0.3),
                 0.91,
                 0.97,
             ),
             ('few_places', replace(_BURSTS, engines=(4,) * 4), 0.94, 0.97),
             (
                 'one_owner_after_a_loss',
-                replace(_BURSTS, owners=1, lost_at=6, lost_share=0.45),
+                replace(
+                    _BURSTS, owners=1, engine_loss_at=6, engine_loss_share=0.45
+                ),
                 0.75,
                 0.8,
             ),
@@ -115,13 +117,13 @@
     def test_without_overload(self, _name, phases, seed, stops, online):
         load = replace(_BURSTS, engines=(9, 9, 9, 9), phases=phases)
         tally = Replay(load, seed).play()
-        self.assertEqual(stops, tally.stops)
+        self.assertEqual(stops, tally.preemptions)
         self.assertEqual(online, dict(tally.online))
         self.assertEqual(1, tally.items_in_time)
 
     def test_items_are_served_no_more_than_online_requests(self):
         """Under lasting overload neither kind starves."""
-        load = replace(_BURSTS, engines=(4, 4, 4, 4), online=130)
+        load = replace(_BURSTS, engines=(4, 4, 4, 4), online_rate=130)
         tally = Replay(load, _SEED).play()
         served = 1 - tally.lost
         self.assertLessEqual(tally.items_in_time, served + 0.05)
--- a/tests/test_gateway_replay.py
+++ b/tests/test_gateway_replay.py
@@ -14,24 +14,28 @@
 #: Square bursts of 1.84 and 0.377 of the mean, two periods of them.
 _BURSTS = Load(
     engines=(8, 7, 7, 8, 7),
-    clients=(1, 1, 1.02, 0.8, 1.02),
-    age=0.06,
-    length=13.2,
+    client_weights=(1, 1, 1.02, 0.8, 1.02),
+    report_age=0.06,
+    duration=13.2,
 )
 #: Items for which the places are short beside the bursts.
 _SHORT = Load(
-    engines=(2, 1, 2, 1, 1), entries=15, online=34, age=0.06, length=26.4
+    engines=(2, 1, 2, 1, 1),
+    entries=15,
+    online_rate=34,
+    report_age=0.06,
+    duration=26.4,
 )
 _SMALL = Load(
     engines=(3, 3, 3),
-    clients=(1, 1, 1),
+    client_weights=(1, 1, 1),
     slots=8,
     entries=6,
-    online=50,
-    jobs=0.6,
-    run=0.6,
-    age=0.03,
-    length=13.2,
+    online_rate=50,
+    job_rate=0.6,
+    run_seconds=0.6,
+    report_age=0.03,
+    duration=13.2,
 )
 
 
@@ -54,7 +58,7 @@
             ('near_all_places', _BURSTS, Bound(0.95, 0.93)),
             (
                 'over_all_places',
-                replace(_BURSTS, online=197, engines=(7, 6, 7, 7, 7)),
+                replace(_BURSTS, online_rate=197, engines=(7, 6, 7, 7, 7)),
                 Bound(0.83, 0.8, refused=0.05),
             ),
             (
@@ -67,27 +71,32 @@
             ),
             (
                 'engines_leave_in_a_burst',
-                replace(_BURSTS, lost_at=4.2, lost_share=0.15),
+                replace(_BURSTS, engine_loss_at=4.2, engine_loss_share=0.15),
                 Bound(0.85, 0.82, refused=0.05),
             ),
             (
                 'two_fifths_of_the_engines_leave_in_a_burst',
-                replace(_BURSTS, online=130, lost_at=4.2, lost_share=0.4),
+                replace(
+                    _BURSTS,
+                    online_rate=130,
+                    engine_loss_at=4.2,
+                    engine_loss_share=0.4,
+                ),
                 Bound(0.83, 0.79, refused=0.07),
             ),
             (
                 'a_third_of_the_entries_is_not_heard',
-                replace(_BURSTS, apart=0.34),
+                replace(_BURSTS, partitioned_share=0.34),
                 Bound(0.72, 0.68),
             ),
             (
                 'twice_the_items',
-                replace(_SHORT, jobs=2.2),
+                replace(_SHORT, job_rate=2.2),
                 Bound(0.93, items=0.29),
             ),
             (
                 'a_third_more_items',
-                replace(_SHORT, jobs=0.9),
+                replace(_SHORT, job_rate=0.9),
                 Bound(0.93, items=0.75),
             ),
             (
@@ -95,23 +104,23 @@
                 replace(
                     _BURSTS,
                     engines=(3, 8, 8, 9, 9),
-                    clients=(2, 1, 1, 1, 1),
+                    client_weights=(2, 1, 1, 1, 1),
                 ),
                 Bound(0.945, 0.93),
             ),
             (
                 'counts_of_0.05_s_ago',
-                replace(_BURSTS, age=0.05),
+                replace(_BURSTS, report_age=0.05),
                 Bound(0.96, 0.94),
             ),
             (
                 'counts_of_0.1_s_ago',
-                replace(_BURSTS, age=0.1),
+                replace(_BURSTS, report_age=0.1),
                 Bound(0.925, 0.9),
             ),
             (
                 'counts_of_0.4_s_ago',
-                replace(_BURSTS, age=0.4),
+                replace(_BURSTS, report_age=0.4),
                 Bound(0.72, 0.7),
             ),
             ('20_entries', replace(_BURSTS, entries=20), Bound(0.97, 0.955)),
@@ -122,9 +131,9 @@
                     _BURSTS,
                     engines=(38, 37, 38, 37, 37),
                     entries=300,
-                    online=880,
-                    jobs=0.5,
-                    length=5.6,
+                    online_rate=880,
+                    job_rate=0.5,
+                    duration=5.6,
                 ),
                 Bound(0.93, 0.92),
             ),
@@ -136,12 +145,12 @@
             ),
             (
                 'too_many_items_of_five_owners',
-                replace(_SHORT, owners=5, jobs=0.9),
+                replace(_SHORT, owners=5, job_rate=0.9),
                 Bound(0.93, items=0.6),
             ),
             (
                 'items_of_three_owners_of_a_small_fleet',
-                replace(_SMALL, owners=3, jobs=0.9),
+                replace(_SMALL, owners=3, job_rate=0.9),
                 Bound(0.99, items=0.99),
             ),
         ]
@@ -154,11 +163,11 @@
         """0.85 of them are in time where new ones yield as in a crowd."""
         load = replace(
             _BURSTS,
-            online=197,
+            online_rate=197,
             engines=(7, 6, 7, 7, 7),
-            run=0.76,
-            item_run=5.1,
-            length=26.4,
+            run_seconds=0.76,
+            item_run_seconds=5.1,
+            duration=26.4,
         )
         self._check(Replay(load, 2).play(), Bound(0.7, lost=0.02, items=0.9))
 
--- a/tests/test_gateway_uneven.py
+++ b/tests/test_gateway_uneven.py
@@ -9,34 +9,36 @@
 from dataclasses import replace
 from statistics import mean
 
-from bendlead_testing.replay import Load, Replay, Tally, Uneven
+from bendlead_testing.replay import Load, Replay, SpeedVariation, Tally
 from parameterized import parameterized
 
 _SEEDS = (1, 2, 3)
 #: Two of three engines are fast, and each stalls for a while by times.
-_UNEVEN = Uneven(speeds=(0.7, 0.7, 1.7), stalled=0.15)
+_UNEVEN = SpeedVariation(speeds=(0.7, 0.7, 1.7), stall_share=0.15)
 #: Square bursts of 1.84 of the mean that take 0.9 of all places.
 _BURSTS = Load(
     engines=(6, 5, 5, 5),
-    clients=(1, 1, 1.02, 0.8),
+    client_weights=(1, 1, 1.02, 0.8),
     slots=8,
     entries=20,
-    online=135,
-    jobs=0.3,
-    age=0.05,
-    item_run=2.4,
-    item_due=9,
-    length=6.6,
+    online_rate=135,
+    job_rate=0.3,
+    report_age=0.05,
+    item_run_seconds=2.4,
+    completion_window=9,
+    duration=6.6,
 )
-_FEWER = replace(_BURSTS, online=105)
+_FEWER = replace(_BURSTS, online_rate=105)
 #: What chance does to a share of the requests of some seeds.
 _CHANCE = 0.01
 
 
-def _play(load: Load, uneven: Uneven, seed: int) -> tuple[Tally, Tally]:
+def _play(load: Load, uneven: SpeedVariation, seed: int) -> tuple[Tally, Tally]:
     """Play with entries that learn and with others."""
-    learning = replace(load, uneven=uneven)
-    alone = replace(load, uneven=replace(uneven, learns=False))
+    learning = replace(load, speed_variation=uneven)
+    alone = replace(
+        load, speed_variation=replace(uneven, estimates_speeds=False)
+    )
     return Replay(learning, seed).play(), Replay(alone, seed).play()
 
 
@@ -55,13 +57,13 @@
         [
             (
                 'speeds',
-                replace(_BURSTS, length=13.2),
-                replace(_UNEVEN, stalled=0),
+                replace(_BURSTS, duration=13.2),
+                replace(_UNEVEN, stall_share=0),
             ),
             ('60_entries', replace(_BURSTS, entries=60), _UNEVEN),
         ]
     )
-    def test_gain(self, _name, load: Load, uneven: Uneven):
+    def test_gain(self, _name, load: Load, uneven: SpeedVariation):
         pairs = [_play(load, uneven, seed) for seed in _SEEDS]
         self.assertGreater(_gain(pairs, 'in_time'), _CHANCE)
 
@@ -69,14 +71,14 @@
         [
             ('places_for_all', _FEWER, _UNEVEN),
             ('speeds_and_stalls', _BURSTS, _UNEVEN),
-            ('over_all_places', replace(_BURSTS, online=157), _UNEVEN),
-            ('stalls_alone', _BURSTS, Uneven(stalled=0.15)),
-            ('one_turns_slow', _BURSTS, replace(_UNEVEN, turns_slow=3)),
-            ('news_of_0.5_s_ago', replace(_FEWER, age=0.5), _UNEVEN),
+            ('over_all_places', replace(_BURSTS, online_rate=157), _UNEVEN),
+            ('stalls_alone', _BURSTS, SpeedVariation(stall_share=0.15)),
+            ('one_turns_slow', _BURSTS, replace(_UNEVEN, slow_factor=3)),
+            ('news_of_0.5_s_ago', replace(_FEWER, report_age=0.5), _UNEVEN),
             (
                 'no_news_for_8_s',
                 _FEWER,
-                replace(_UNEVEN, unheard_from=0, unheard_until=8),
+                replace(_UNEVEN, reports_lost_from=0, reports_lost_until=8),
             ),
             (
                 'all_entries_start_again',
@@ -90,7 +92,7 @@
             ),
         ]
     )
-    def test_no_worse(self, _name, load: Load, uneven: Uneven):
+    def test_no_worse(self, _name, load: Load, uneven: SpeedVariation):
         pairs = [_play(load, uneven, seed) for seed in _SEEDS]
         self.assertGreater(_gain(pairs, 'in_time'), -_CHANCE)
         self.assertGreater(_gain(pairs, 'items_in_time'), -_CHANCE)
@@ -98,8 +100,8 @@
 
     @parameterized.expand(
         [
-            ('equal', Uneven()),
-            ('one_turns_slow', Uneven(turns_slow=3)),
+            ('equal', SpeedVariation()),
+            ('one_turns_slow', SpeedVariation(slow_factor=3)),
         ]
     )
     def test_same_choices_where_engines_are_alike(self, _name, uneven):
