--- a/testing/src/bendlead_testing/replay/_load.py
+++ b/testing/src/bendlead_testing/replay/_load.py
@@ -75,8 +75,8 @@
 
     def rate_factor(self, now: float) -> float:
         """Return the rate factor of the online load at a time."""
-        elapsed = now % self.period
-        return [factor for start, factor in self.phases if start <= elapsed][-1]
+        offset = now % self.period
+        return [factor for start, factor in self.phases if start <= offset][-1]
 
 
 @dataclass
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -18,12 +18,12 @@
 from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway._teams.shares import TeamShares
 from bendlead_gateway.types import LimitWindow, NodeName, Team, TeamName
-from bendlead_testing.turn_replay import (
-    Room,
+from bendlead_testing.fairness_replay import (
+    FairnessLoad,
+    FairnessReplay,
+    OverloadPolicy,
+    SharingPolicy,
     Surge,
-    TurnLoad,
-    TurnReplay,
-    Way,
     teams_by_size,
 )
 from hypothesis import given, settings
@@ -38,17 +38,17 @@
 )
 _TEAMS, _USUAL = teams_by_size(77, 87)
 _BURSTS = ((0, 0.377), (3.8, 1.84))
-_HOT = TurnLoad(
+_HOT = FairnessLoad(
     _TEAMS,
     _USUAL,
     [Surge(3, 11, [1], 8), Surge(3, 11, [2], 6)],
     _BURSTS,
-    lost=(3, 11, 0.5),
-    seconds=14,
+    engine_loss=(3, 11, 0.5),
+    duration=14,
 )
 _EQUAL = [Team(TeamName(f't{at}'), rate=100, burst=100) for at in range(52)]
-_SMALL = TurnLoad(
-    _EQUAL, [1.4] * 52, [Surge(1, 9, [0, 1], 60)], engines=12, seconds=10
+_SMALL = FairnessLoad(
+    _EQUAL, [1.4] * 52, [Surge(1, 9, [0, 1], 60)], engines=12, duration=10
 )
 
 
@@ -324,21 +324,34 @@
     #: What a team within its share may lose by others beyond theirs.
     _KEPT = 0.95
 
-    def play(self, load, way=Way.AVERAGE, room=Room.ENTRY):
+    def play(
+        self,
+        load,
+        sharing=SharingPolicy.RECENT_USE,
+        overload=OverloadPolicy.QUEUE_AT_ENTRY,
+    ):
         """Play a load."""
-        return TurnReplay(load, 1, way, room).play()
+        return FairnessReplay(load, 1, sharing, overload).play()
 
     def play_as_they_come(self, load):
         """Play a load without turns and without holding anybody."""
-        return self.play(load, Way.AS_THEY_COME, Room.REFUSE)
+        return self.play(load, SharingPolicy.FIRST_COME, OverloadPolicy.REFUSE)
 
     @parameterized.expand(
         [
             ('hot_teams_and_half_of_the_engines', _HOT, (1, 2)),
-            ('news_half_a_second_old', replace(_HOT, teams_age=0.5), (1, 2)),
+            (
+                'news_half_a_second_old',
+                replace(_HOT, team_report_age=0.5),
+                (1, 2),
+            ),
             ('all_restart', replace(_HOT, restart_at=4.5), (1, 2)),
-            ('items_beside', replace(_HOT, jobs=1, lost=(3, 9, 0.3)), (1, 2)),
-            ('hot_by_one_hall', replace(_HOT, reached=_by_hall), (1, 2)),
+            (
+                'items_beside',
+                replace(_HOT, job_rate=1, engine_loss=(3, 9, 0.3)),
+                (1, 2),
+            ),
+            ('hot_by_one_hall', replace(_HOT, draw_entry=_by_hall), (1, 2)),
             ('two_hot_and_fifty_small', _SMALL, (0, 1)),
         ],
     )
@@ -365,7 +378,7 @@
             Team(TeamName(f't{at}'), rate=100, burst=100, priority=at % 2)
             for at in range(20)
         ]
-        load = TurnLoad(teams, [9] * 20, engines=12, seconds=8)
+        load = FairnessLoad(teams, [9] * 20, engines=12, duration=8)
         tally = self.play(load)
         urgent = tally.in_time(range(0, 20, 2))
         others = tally.in_time(range(1, 20, 2))
@@ -373,7 +386,9 @@
         self.assertGreater(others, 0.1)
 
     def test_alike_teams_lose_nothing(self):
-        load = TurnLoad(_TEAMS, _USUAL, (), _BURSTS, engines=13, seconds=14)
+        load = FairnessLoad(
+            _TEAMS, _USUAL, (), _BURSTS, engines=13, duration=14
+        )
         plain = self.play_as_they_come(load)
         fair = self.play(load)
         self.assertGreater(fair.in_time(), plain.in_time() - 0.02)
