--- a/tests/test_gateway_replay.py
+++ b/tests/test_gateway_replay.py
@@ -1,7 +1,7 @@
-"""Loads at their worst, replayed against the decisions of the gateway.
+"""Overload and faults, replayed against the scheduling code of the gateway.
 
-Most bounds lie between what is reached and what is reached where each request
-goes to the engine that looks best, and items are taken to run on to their end.
+Most bounds fail if each request goes to the engine with the best estimate
+instead of a drawn one and items are assumed to run to their end.
 """
 
 import unittest
@@ -11,14 +11,14 @@
 from parameterized import parameterized
 
 _SEED = 1
-#: Square bursts of 1.84 and 0.377 of the mean, two periods of them.
+#: Two periods of square bursts at 1.84 and 0.377 of the mean rate.
 _BURSTS = Load(
     engines=(8, 7, 7, 8, 7),
     client_weights=(1, 1, 1.02, 0.8, 1.02),
     report_age=0.06,
     duration=13.2,
 )
-#: Items for which the places are short beside the bursts.
+#: More items than the idle slots beside the bursts can run.
 _SHORT = Load(
     engines=(2, 1, 2, 1, 1),
     entries=15,
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Bound:
-    """Bound what must come of a load, in shares of all."""
+    """Bounds on the outcomes of a load, as shares of all requests or items."""
 
     in_time: float
     worst_hall: float = 0.0
@@ -51,18 +51,18 @@
 
 
 class ReplayTest(unittest.TestCase):
-    """What callers get while load is at its worst."""
+    """Outcomes for clients and items under bursts and faults."""
 
     @parameterized.expand(
         [
-            ('near_all_places', _BURSTS, Bound(0.95, 0.93)),
+            ('near_all_slots', _BURSTS, Bound(0.95, 0.93)),
             (
-                'over_all_places',
+                'over_all_slots',
                 replace(_BURSTS, online_rate=197, engines=(7, 6, 7, 7, 7)),
                 Bound(0.83, 0.8, refused=0.05),
             ),
             (
-                'all_clients_return_in_a_burst',
+                'all_clients_reconnect_in_a_burst',
                 replace(
                     _BURSTS,
                     phases=((0, 0.377), (3.8, 1.84), (4.2, 6), (4.4, 1.84)),
@@ -70,12 +70,12 @@
                 Bound(0.81, 0.78, refused=0.06),
             ),
             (
-                'engines_leave_in_a_burst',
+                'engine_loss_in_a_burst',
                 replace(_BURSTS, engine_loss_at=4.2, engine_loss_share=0.15),
                 Bound(0.85, 0.82, refused=0.05),
             ),
             (
-                'two_fifths_of_the_engines_leave_in_a_burst',
+                'loss_of_two_fifths_of_the_engines_in_a_burst',
                 replace(
                     _BURSTS,
                     online_rate=130,
@@ -85,7 +85,7 @@
                 Bound(0.83, 0.79, refused=0.07),
             ),
             (
-                'a_third_of_the_entries_is_not_heard',
+                'a_third_of_the_entries_is_partitioned',
                 replace(_BURSTS, partitioned_share=0.34),
                 Bound(0.72, 0.68),
             ),
@@ -109,17 +109,17 @@
                 Bound(0.945, 0.93),
             ),
             (
-                'counts_of_0.05_s_ago',
+                'counts_0.05_s_old',
                 replace(_BURSTS, report_age=0.05),
                 Bound(0.96, 0.94),
             ),
             (
-                'counts_of_0.1_s_ago',
+                'counts_0.1_s_old',
                 replace(_BURSTS, report_age=0.1),
                 Bound(0.925, 0.9),
             ),
             (
-                'counts_of_0.4_s_ago',
+                'counts_0.4_s_old',
                 replace(_BURSTS, report_age=0.4),
                 Bound(0.72, 0.7),
             ),
@@ -160,7 +160,7 @@
         self._check(tally, bound)
 
     def test_items_a_little_too_many(self):
-        """0.85 of them are in time where new ones yield as in a crowd."""
+        """New items must not be deferred as under heavy overload."""
         load = replace(
             _BURSTS,
             online_rate=197,
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -1,4 +1,4 @@
-"""Whose turn it is where teams compete for too few places."""
+"""Fair sharing between teams that compete for too few slots."""
 
 import unittest
 from dataclasses import replace
@@ -37,7 +37,9 @@
     b'HTTP/1.1 200 OK\r\nX-Response-Seal: s1\r\nContent-Length: 2\r\n\r\nok'
 )
 _TEAMS, _USUAL = teams_by_size(77, 87)
+#: Phases of the online load, start and factor.
 _BURSTS = ((0, 0.377), (3.8, 1.84))
+#: Two hot teams while half of the engines are lost.
 _HOT = FairnessLoad(
     _TEAMS,
     _USUAL,
@@ -46,19 +48,21 @@
     engine_loss=(3, 11, 0.5),
     duration=14,
 )
-_EQUAL = [Team(TeamName(f't{at}'), rate=100, burst=100) for at in range(52)]
+_EQUAL = [
+    Team(TeamName(f't{number}'), rate=100, burst=100) for number in range(52)
+]
 _SMALL = FairnessLoad(
     _EQUAL, [1.4] * 52, [Surge(1, 9, [0, 1], 60)], engines=12, duration=10
 )
 
 
-def _by_hall(team, chance):
-    """Have the clients of hot teams reach the entries of one hall only."""
-    return chance.randrange(5) if team in {1, 2} else chance.randrange(20)
+def _draw_entry(team, rng):
+    """Route the clients of the hot teams to the entries of one data hall."""
+    return rng.randrange(5) if team in {1, 2} else rng.randrange(20)
 
 
-class AverageTest(unittest.TestCase):
-    """What the share of teams is."""
+class SharesByPriorityTest(unittest.TestCase):
+    """Shares by weight and priority, and admission by them."""
 
     @parameterized.expand(
         [
@@ -75,17 +79,17 @@
             ('nobody', [], []),
         ],
     )
-    def test_over(self, _name, teams, over):
-        usages = [TeamUsage(*one) for one in teams]
-        of_class = shares_by_priority(usages)
-        found = [
-            one.requests > of_class[one.priority] * one.weight * 1.001
-            for one in usages
+    def test_over_share(self, _name, teams, over):
+        usages = [TeamUsage(*team) for team in teams]
+        shares = shares_by_priority(usages)
+        over_share = [
+            usage.requests > shares[usage.priority] * usage.weight * 1.001
+            for usage in usages
         ]
-        self.assertEqual(over, found)
+        self.assertEqual(over, over_share)
 
-    def test_a_class_keeps_a_floor(self):
-        """All of the less urgent are over, and none is left with nothing."""
+    def test_lower_priority_keeps_a_minimum_share(self):
+        """Urgent teams must not starve the others."""
         self.assertEqual(
             10, shares_by_priority([TeamUsage(90, 1), TeamUsage(10, 1, 1)])[1]
         )
@@ -93,7 +97,7 @@
             10, shares_by_priority([TeamUsage(60, 1), TeamUsage(40, 1, 1)])[1]
         )
 
-    def test_a_few_urgent_requests_cut_others_by_little(self):
+    def test_few_urgent_requests_reduce_other_shares_little(self):
         self.assertEqual(
             80, shares_by_priority([TeamUsage(10, 1), TeamUsage(90, 1, 1)])[1]
         )
@@ -109,138 +113,143 @@
         st.floats(0, 1),
     )
     @settings(max_examples=300, deadline=None)
-    def test_who_is_below_its_share_is_refused_last(self, teams, wait):
-        had = [TeamUsage(*one) for one in teams]
-        of_class = shares_by_priority(had)
-        turns = [
-            ShareUse(one.requests, of_class[one.priority] * one.weight + 0.01)
-            for one in had
+    def test_teams_over_their_share_are_refused_first(self, teams, wait):
+        usages = [TeamUsage(*team) for team in teams]
+        shares = shares_by_priority(usages)
+        share_uses = [
+            ShareUse(
+                usage.requests, shares[usage.priority] * usage.weight + 0.01
+            )
+            for usage in usages
         ]
         refused = [
-            check_admission(AdmissionRequest(0.3, 5, turn), wait, lambda: 0.5)
+            check_admission(AdmissionRequest(0.3, 5, use), wait, lambda: 0.5)
             is not None
-            for turn in turns
+            for use in share_uses
         ]
-        below = [no for turn, no in zip(turns, refused, strict=True)
-                 if not turn.over_share]  # fmt: skip
-        above = [no for turn, no in zip(turns, refused, strict=True)
-                 if turn.over_share]  # fmt: skip
+        below = [no for use, no in zip(share_uses, refused, strict=True)
+                 if not use.over_share]  # fmt: skip
+        above = [no for use, no in zip(share_uses, refused, strict=True)
+                 if use.over_share]  # fmt: skip
         self.assertTrue(not any(below) or all(above))
-        # Somebody is always within its share.
+        # At least one team is within its share.
         self.assertTrue(below)
 
     @given(st.floats(0, 1e6), st.floats(0, 1e6), st.booleans())
-    def test_nobody_is_refused_while_a_place_is_free(self, had, share, behind):
-        asked = AdmissionRequest(0.3, 5, ShareUse(had, share), behind)
-        self.assertIsNone(check_admission(asked, 0, lambda: 0.5))
+    def test_none_refused_while_a_slot_is_free(self, used, share, behind):
+        request = AdmissionRequest(0.3, 5, ShareUse(used, share), behind)
+        self.assertIsNone(check_admission(request, 0, lambda: 0.5))
 
 
-class ShareTest(unittest.TestCase):
-    """What one entry knows of the shares."""
+class TeamSharesTest(unittest.TestCase):
+    """Shares of teams as counted by one entry."""
 
     def setUp(self):
         self.now = 100.0
-        self.named = {one.name: one for one in _EQUAL}
+        self.teams = {team.name: team for team in _EQUAL}
         self.shares = TeamShares(
-            lambda name: self.named.get(name), lambda: self.now
+            lambda name: self.teams.get(name), lambda: self.now
         )
 
-    def let_through(self, team, requests):
-        """Count requests of a team by its number."""
+    def add(self, team, requests):
+        """Count requests of the team with a number."""
         self.shares.add(TeamName(f't{team}'), requests)
 
-    def turn(self, team):
-        """Tell the turn of a team by its number."""
-        return self.shares.share_use(self.named[f't{team}'])
+    def share_use(self, team):
+        """Return the share use of the team with a number."""
+        return self.shares.share_use(self.teams[f't{team}'])
 
-    def make_hot(self):
-        """Have one team take most, and twenty take little."""
-        self.let_through(0, 60)
+    def add_hot_team(self):
+        """Count many requests of one team and few of twenty others."""
+        self.add(0, 60)
         for team in range(1, 21):
-            self.let_through(team, 3)
+            self.add(team, 3)
 
     def test_hot_team_is_over_and_others_are_not(self):
-        self.make_hot()
-        self.assertTrue(self.turn(0).over_share)
+        self.add_hot_team()
+        self.assertTrue(self.share_use(0).over_share)
         self.assertEqual(
-            [1] * 20, [self.turn(at).wait_factor for at in range(1, 21)]
+            [1] * 20,
+            [self.share_use(number).wait_factor for number in range(1, 21)],
         )
 
-    def test_callers_without_a_team_are_never_over(self):
-        self.make_hot()
+    def test_clients_without_a_team_are_never_over(self):
+        self.add_hot_team()
         self.assertIs(UNCONTESTED, self.shares.share_use(None))
 
     def test_a_team_that_was_idle_gets_its_share_at_once(self):
-        self.make_hot()
+        self.add_hot_team()
         self.now += 0.2
-        self.let_through(30, 3)
-        self.assertEqual(1, self.turn(30).wait_factor)
-        self.assertLess(self.turn(0).wait_factor, 1)
+        self.add(30, 3)
+        self.assertEqual(1, self.share_use(30).wait_factor)
+        self.assertLess(self.share_use(0).wait_factor, 1)
 
-    def test_nothing_heard_is_as_they_come(self):
-        self.assertEqual(1, self.turn(0).wait_factor)
+    def test_no_team_is_over_without_counts(self):
+        self.assertEqual(1, self.share_use(0).wait_factor)
 
-    def test_removed_team_counts_no_more(self):
-        self.make_hot()
-        del self.named['t0']
+    def test_removed_team_is_not_counted(self):
+        self.add_hot_team()
+        del self.teams['t0']
         self.assertNotIn('t0', self.shares.summary())
-        self.assertFalse(self.turn(1).over_share)
+        self.assertFalse(self.share_use(1).over_share)
 
-    def test_renamed_team_begins_anew_and_the_old_name_has_no_share(self):
-        self.make_hot()
-        del self.named['t0']
-        self.named['new'] = Team(TeamName('new'), rate=100, burst=100)
+    def test_renamed_team_starts_from_zero_and_old_name_is_dropped(self):
+        self.add_hot_team()
+        del self.teams['t0']
+        self.teams['new'] = Team(TeamName('new'), rate=100, burst=100)
         self.now += 0.2
         self.shares.add(TeamName('new'), 2)
-        self.assertFalse(self.shares.share_use(self.named['new']).over_share)
+        self.assertFalse(self.shares.share_use(self.teams['new']).over_share)
         self.assertEqual(
-            {'new', *(f't{at}' for at in range(1, 21))},
+            {'new', *(f't{number}' for number in range(1, 21))},
             set(self.shares.summary()),
         )
 
     def test_a_team_that_is_added_has_a_share_at_once(self):
-        self.make_hot()
-        self.named['new'] = Team(TeamName('new'), rate=100, burst=100)
+        self.add_hot_team()
+        self.teams['new'] = Team(TeamName('new'), rate=100, burst=100)
         self.assertEqual(
-            1, self.shares.share_use(self.named['new']).wait_factor
+            1, self.shares.share_use(self.teams['new']).wait_factor
         )
 
     def test_a_lower_limit_is_a_lower_weight(self):
         for team in range(20):
-            self.let_through(team, 10)
-        self.assertEqual(1, self.turn(0).wait_factor)
-        self.named['t0'] = Team(TeamName('t0'), rate=10, burst=10)
+            self.add(team, 10)
+        self.assertEqual(1, self.share_use(0).wait_factor)
+        self.teams['t0'] = Team(TeamName('t0'), rate=10, burst=10)
         self.now += 0.2
-        self.assertTrue(self.turn(0).over_share)
+        self.assertTrue(self.share_use(0).over_share)
 
     def test_a_higher_limit_is_a_higher_weight(self):
-        self.make_hot()
+        self.add_hot_team()
         self.now += 0.1
-        before = self.turn(0)
-        self.named['t0'] = Team(TeamName('t0'), rate=10_000, burst=100)
+        before = self.share_use(0)
+        self.teams['t0'] = Team(TeamName('t0'), rate=10_000, burst=100)
         self.now += 0.2
-        self.assertGreater(self.turn(0).wait_factor, 1.5 * before.wait_factor)
+        self.assertGreater(
+            self.share_use(0).wait_factor, 1.5 * before.wait_factor
+        )
 
-    def test_teams_without_requests_are_forgotten(self):
+    def test_teams_without_requests_are_dropped(self):
         for number in range(10_000):
             self.shares.add(TeamName(f'n{number}'), 1)
         self.now += 30
-        self.let_through(0, 1)
-        self.turn(0)
+        self.add(0, 1)
+        self.share_use(0)
         self.assertEqual(['t0'], list(self.shares._sums))
 
-    def test_what_did_not_run_goes_back(self):
-        self.let_through(0, 5)
-        self.let_through(0, -5)
+    def test_requests_that_did_not_run_are_refunded(self):
+        self.add(0, 5)
+        self.add(0, -5)
         self.assertEqual({}, self.shares.summary())
 
-    def test_late_news_count_as_a_second_of_them(self):
+    def test_late_report_counts_for_one_second_only(self):
         self.shares.receive({TeamName('t0'): 30}, 3)
-        self.assertAlmostEqual(10, self.turn(0).used)
+        self.assertAlmostEqual(10, self.share_use(0).used)
 
 
-class CountTest(unittest.TestCase):
-    """Counts of teams that reach the shares, and no limit that is passed."""
+class TeamCountsTest(unittest.TestCase):
+    """Reported counts add to the shares and never raise a rate limit."""
 
     def setUp(self):
         self.now = 100.0
@@ -256,73 +265,73 @@
         )
         self.now += 10
 
-    def tell(self, count, version):
-        """Have another entry tell its count."""
-        told = TeamCounts(7, {self.team.name: count})
-        self.limits.receive(NodeName('e-2'), told, version, self.now)
+    def report(self, count, version):
+        """Deliver another entry's report of its count."""
+        counts = TeamCounts(7, {self.team.name: count})
+        self.limits.receive(NodeName('e-2'), counts, version, self.now)
 
-    def test_a_team_without_limit_is_told_too(self):
+    def test_counts_of_teams_without_limit_are_reported(self):
         waits = [self.limits.take(self.team) for _request in range(20)]
         self.limits.refund(self.team)
         self.assertEqual([0] * 20, waits)
         self.assertEqual({'t': 19}, dict(self.limits.counts.counts))
 
-    def test_counts_of_others(self):
-        self.tell(5, 1)
+    def test_counts_of_other_entries(self):
+        self.report(5, 1)
         self.now += 0.1
         before = self.shares.share_use(self.team).used
-        self.tell(17, 2)
+        self.report(17, 2)
         self.assertAlmostEqual(
             before + 12, self.shares.share_use(self.team).used
         )
 
-    def test_an_entry_that_starts_hears_what_comes_from_then_on(self):
-        """What others let through in their whole life is long past."""
+    def test_restarted_entry_counts_only_new_requests_of_others(self):
+        """The first report has the peer's total, most of it long past."""
         self.limits._started = self.now
-        self.tell(5000, 1)
+        self.report(5000, 1)
         self.assertLess(self.shares.share_use(self.team).used, 1)
         self.now += 0.1
-        self.tell(5030, 2)
+        self.report(5030, 2)
         self.assertAlmostEqual(
             30, self.shares.share_use(self.team).used, delta=1
         )
 
-    def test_an_entry_that_ends_is_forgotten_within_seconds(self):
-        self.tell(0, 1)
-        self.tell(30, 2)
+    def test_counts_of_a_stopped_entry_expire_within_seconds(self):
+        self.report(0, 1)
+        self.report(30, 2)
         self.now += 3
         self.assertLess(self.shares.share_use(self.team).used, 2)
 
-    def test_an_entry_that_starts_again_counts_from_nothing(self):
-        self.tell(30, 1)
+    def test_counts_of_a_restarted_entry_start_from_zero(self):
+        self.report(30, 1)
         before = self.shares.share_use(self.team).used
-        told = TeamCounts(8, {self.team.name: 4})
-        self.limits.receive(NodeName('e-2'), told, 2, self.now)
-        found = self.shares.share_use(self.team).used
-        self.assertAlmostEqual(before + 4, found)
+        counts = TeamCounts(8, {self.team.name: 4})
+        self.limits.receive(NodeName('e-2'), counts, 2, self.now)
+        after = self.shares.share_use(self.team).used
+        self.assertAlmostEqual(before + 4, after)
 
-    def test_a_team_that_gets_a_limit_can_pass_no_more(self):
-        """What others told before must not count as given back."""
+    def test_a_new_limit_is_not_exceeded(self):
+        """Earlier reports of peers must not count as refunds."""
         for _request in range(500):
             self.limits.take(self.team)
-        self.tell(500, 1)
+        self.report(500, 1)
         self.team = Team(TeamName('t'), rate=10, burst=10)
         self.now += 1
-        self.tell(505, 2)
+        self.report(505, 2)
         self.now += 20
-        self.tell(510, 3)
-        passed = 0
+        self.report(510, 3)
+        admitted = 0
         while self.limits.take(self.team) <= 0:
-            passed += 1
-        self.assertLessEqual(passed, 12 - 5 + 1)
-        self.assertEqual(500 + passed, self.limits.counts.counts['t'])
+            admitted += 1
+        self.assertLessEqual(admitted, 12 - 5 + 1)
+        self.assertEqual(500 + admitted, self.limits.counts.counts['t'])
 
 
-class ReplayTest(unittest.TestCase):
-    """Loads of many teams on too few places."""
+class FairnessReplayTest(unittest.TestCase):
+    """Loads of many teams on too few slots."""
 
-    #: What a team within its share may lose by others beyond theirs.
-    _KEPT = 0.95
+    #: Least part of its usual service that a team within its share keeps.
+    _MIN_SERVED_RATIO = 0.95
 
     def play(
         self,
@@ -330,53 +339,59 @@
         sharing=SharingPolicy.RECENT_USE,
         overload=OverloadPolicy.QUEUE_AT_ENTRY,
     ):
-        """Play a load."""
+        """Replay a load and return its tally."""
         return FairnessReplay(load, 1, sharing, overload).play()
 
-    def play_as_they_come(self, load):
-        """Play a load without turns and without holding anybody."""
+    def play_first_come(self, load):
+        """Replay a load without fair shares and without a queue."""
         return self.play(load, SharingPolicy.FIRST_COME, OverloadPolicy.REFUSE)
 
     @parameterized.expand(
         [
             ('hot_teams_and_half_of_the_engines', _HOT, (1, 2)),
             (
-                'news_half_a_second_old',
+                'reports_half_a_second_old',
                 replace(_HOT, team_report_age=0.5),
                 (1, 2),
             ),
-            ('all_restart', replace(_HOT, restart_at=4.5), (1, 2)),
+            ('all_entries_restart', replace(_HOT, restart_at=4.5), (1, 2)),
             (
-                'items_beside',
+                'with_batch_items',
                 replace(_HOT, job_rate=1, engine_loss=(3, 9, 0.3)),
                 (1, 2),
             ),
-            ('hot_by_one_hall', replace(_HOT, draw_entry=_by_hall), (1, 2)),
+            (
+                'hot_teams_use_one_hall',
+                replace(_HOT, draw_entry=_draw_entry),
+                (1, 2),
+            ),
             ('two_hot_and_fifty_small', _SMALL, (0, 1)),
         ],
     )
     def test_teams_within_their_shares(self, _name, load, hot):
-        rest = [at for at in range(len(load.teams)) if at not in hot]
-        calm = self.play_as_they_come(replace(load, surges=()))
-        plain = self.play_as_they_come(load)
+        others = [team for team in range(len(load.teams)) if team not in hot]
+        calm = self.play_first_come(replace(load, surges=()))
+        plain = self.play_first_come(load)
         fair = self.play(load)
-        least = self._KEPT * calm.served(rest)
-        self.assertGreater(fair.served(rest), least)
-        self.assertLess(plain.served(rest), fair.served(rest))
-        self.assertLess(plain.in_time(rest), fair.in_time(rest))
-        self.assertLess(plain.worst_tenth(rest), fair.worst_tenth(rest))
-
-    def test_the_teams_served_worst_as_without_hot_ones(self):
-        rest = [0, *range(3, len(_TEAMS))]
-        calm = self.play_as_they_come(replace(_HOT, surges=()))
-        least = self._KEPT * calm.worst_tenth(rest)
-        self.assertGreater(self.play(_HOT).worst_tenth(rest), least)
-        self.assertLess(self.play_as_they_come(_HOT).worst_tenth(rest), least)
-
-    def test_urgent_teams_first_and_others_not_starved(self):
+        least = self._MIN_SERVED_RATIO * calm.served(others)
+        self.assertGreater(fair.served(others), least)
+        self.assertLess(plain.served(others), fair.served(others))
+        self.assertLess(plain.in_time(others), fair.in_time(others))
+        self.assertLess(plain.worst_tenth(others), fair.worst_tenth(others))
+
+    def test_hot_teams_do_not_affect_the_worst_served_tenth(self):
+        others = [0, *range(3, len(_TEAMS))]
+        calm = self.play_first_come(replace(_HOT, surges=()))
+        least = self._MIN_SERVED_RATIO * calm.worst_tenth(others)
+        self.assertGreater(self.play(_HOT).worst_tenth(others), least)
+        self.assertLess(self.play_first_come(_HOT).worst_tenth(others), least)
+
+    def test_urgent_teams_come_first_without_starving_others(self):
         teams = [
-            Team(TeamName(f't{at}'), rate=100, burst=100, priority=at % 2)
-            for at in range(20)
+            Team(
+                TeamName(f't{number}'), rate=100, burst=100, priority=number % 2
+            )
+            for number in range(20)
         ]
         load = FairnessLoad(teams, [9] * 20, engines=12, duration=8)
         tally = self.play(load)
@@ -385,27 +400,27 @@
         self.assertGreater(urgent, others + 0.1)
         self.assertGreater(others, 0.1)
 
-    def test_alike_teams_lose_nothing(self):
+    def test_equally_loaded_teams_lose_nothing(self):
         load = FairnessLoad(
             _TEAMS, _USUAL, (), _BURSTS, engines=13, duration=14
         )
-        plain = self.play_as_they_come(load)
+        plain = self.play_first_come(load)
         fair = self.play(load)
         self.assertGreater(fair.in_time(), plain.in_time() - 0.02)
         self.assertGreater(fair.served(), plain.served() - 0.02)
 
 
-class EntryTurnTest(EntryCase):
-    """Teams at an entry whose engines have no free place."""
+class EntrySharesTest(EntryCase):
+    """Teams at an entry whose engines have no free slot."""
 
-    def begin(self, teams=('a', 'b')):
-        """Start an entry where a request has to wait for an eighth of a run."""
+    def start_entry(self, teams=('a', 'b')):
+        """Start an entry whose requests wait for an eighth of a run."""
         self.start(route('safe'), answers=[_PLAIN, _PLAIN])
-        made = {
+        document = {
             **configuration(2, route('safe')),
-            'tenants': [{'name': one, 'api_keys': [one]} for one in teams],
+            'tenants': [{'name': name, 'api_keys': [name]} for name in teams],
         }
-        self.store.set('config', 'main', made)
+        self.store.set('config', 'main', document)
         fleet = self.entry.fleet
         eventually(lambda: fleet.configuration.version == 2)
         fleet.pace.run_seconds = 1.0
@@ -417,29 +432,29 @@
         self.entry.shares.add('b', 3)
 
     def status(self, key):
-        """Send a request with a key and give its status."""
+        """Send a request with an API key and return the status."""
         extra = [('X-Credential', key)] if key else []
         return self.read(self.ask(extra=extra))[0].status
 
     def test_the_team_over_its_share_is_refused_and_the_other_served(self):
-        self.begin()
+        self.start_entry()
         self.assertEqual([503, 200], [self.status('a'), self.status('b')])
         shown = self.entry.state()['teams']
         self.assertGreater(shown['a']['had'], shown['a']['share'])
         self.assertEqual(1, shown['a']['no_place'])
         self.assertEqual(0, shown['b']['no_place'])
         (line,) = [
-            one
-            for one in map(str, self.entry.log.recent)
-            if 'others go first' in one
+            entry
+            for entry in map(str, self.entry.log.recent)
+            if 'others go first' in entry
         ]
         self.assertIn('share', line)
 
-    def test_nobody_is_refused_while_a_place_is_free(self):
-        self.begin()
+    def test_no_request_is_refused_while_a_slot_is_free(self):
+        self.start_entry()
         self.entry.fleet.loads.own.online['i-1'] -= 2
         self.assertEqual(200, self.status('a'))
 
-    def test_without_teams_nobody_is_over_a_share(self):
-        self.begin(teams=())
+    def test_without_teams_no_request_is_refused(self):
+        self.start_entry(teams=())
         self.assertEqual(200, self.status(None))
--- a/tests/test_gateway_uneven.py
+++ b/tests/test_gateway_uneven.py
@@ -1,7 +1,7 @@
-"""Engines that differ in speed or stall, replayed against the decisions.
+"""Replays with engines that differ in speed or stall.
 
-Each load is played twice: with entries that learn how fast engines are and
-tell one another, and with entries of which each has its own averages alone.
+Each load is replayed twice: with entries that estimate engine speeds and
+exchange the estimates, and with entries that use only their own averages.
 """
 
 import unittest
@@ -13,9 +13,9 @@
 from parameterized import parameterized
 
 _SEEDS = (1, 2, 3)
-#: Two of three engines are fast, and each stalls for a while by times.
+#: Two of three engines are fast, and each stalls now and then.
 _UNEVEN = SpeedVariation(speeds=(0.7, 0.7, 1.7), stall_share=0.15)
-#: Square bursts of 1.84 of the mean that take 0.9 of all places.
+#: Square bursts at 1.84 of the mean rate that use 0.9 of all slots.
 _BURSTS = Load(
     engines=(6, 5, 5, 5),
     client_weights=(1, 1, 1.02, 0.8),
@@ -28,30 +28,32 @@
     completion_window=9,
     duration=6.6,
 )
-_FEWER = replace(_BURSTS, online_rate=105)
-#: What chance does to a share of the requests of some seeds.
-_CHANCE = 0.01
+_LIGHT = replace(_BURSTS, online_rate=105)
+#: Random variation of a share of the requests over some seeds.
+_NOISE = 0.01
 
 
-def _play(load: Load, uneven: SpeedVariation, seed: int) -> tuple[Tally, Tally]:
-    """Play with entries that learn and with others."""
-    learning = replace(load, speed_variation=uneven)
-    alone = replace(
-        load, speed_variation=replace(uneven, estimates_speeds=False)
+def _play(
+    load: Load, variation: SpeedVariation, seed: int
+) -> tuple[Tally, Tally]:
+    """Replay with speed estimates and without."""
+    estimating = replace(load, speed_variation=variation)
+    baseline = replace(
+        load, speed_variation=replace(variation, estimates_speeds=False)
     )
-    return Replay(learning, seed).play(), Replay(alone, seed).play()
+    return Replay(estimating, seed).play(), Replay(baseline, seed).play()
 
 
 def _gain(pairs: Sequence[tuple[Tally, Tally]], share: str) -> float:
-    """Give by how much a share is greater with entries that learn."""
+    """Return the mean increase of a share by speed estimates."""
     return mean(
-        getattr(learnt, share) - getattr(before, share)
-        for learnt, before in pairs
+        getattr(estimating, share) - getattr(baseline, share)
+        for estimating, baseline in pairs
     )
 
 
 class UnevenTest(unittest.TestCase):
-    """What callers get where engines differ."""
+    """Outcomes for clients where engines differ in speed."""
 
     @parameterized.expand(
         [
@@ -63,40 +65,40 @@
             ('60_entries', replace(_BURSTS, entries=60), _UNEVEN),
         ]
     )
-    def test_gain(self, _name, load: Load, uneven: SpeedVariation):
-        pairs = [_play(load, uneven, seed) for seed in _SEEDS]
-        self.assertGreater(_gain(pairs, 'in_time'), _CHANCE)
+    def test_gain(self, _name, load: Load, variation: SpeedVariation):
+        pairs = [_play(load, variation, seed) for seed in _SEEDS]
+        self.assertGreater(_gain(pairs, 'in_time'), _NOISE)
 
     @parameterized.expand(
         [
-            ('places_for_all', _FEWER, _UNEVEN),
+            ('slots_for_all', _LIGHT, _UNEVEN),
             ('speeds_and_stalls', _BURSTS, _UNEVEN),
-            ('over_all_places', replace(_BURSTS, online_rate=157), _UNEVEN),
+            ('over_all_slots', replace(_BURSTS, online_rate=157), _UNEVEN),
             ('stalls_alone', _BURSTS, SpeedVariation(stall_share=0.15)),
             ('one_turns_slow', _BURSTS, replace(_UNEVEN, slow_factor=3)),
-            ('news_of_0.5_s_ago', replace(_FEWER, report_age=0.5), _UNEVEN),
+            ('reports_0.5_s_old', replace(_LIGHT, report_age=0.5), _UNEVEN),
             (
-                'no_news_for_8_s',
-                _FEWER,
+                'no_reports_for_8_s',
+                _LIGHT,
                 replace(_UNEVEN, reports_lost_from=0, reports_lost_until=8),
             ),
             (
-                'all_entries_start_again',
-                _FEWER,
+                'all_entries_restart',
+                _LIGHT,
                 replace(_UNEVEN, entries_restart_at=4.5),
             ),
             (
-                'all_engines_start_again_faster_or_slower',
-                _FEWER,
+                'all_engines_restart_faster_or_slower',
+                _LIGHT,
                 replace(_UNEVEN, engines_restart_at=4.5),
             ),
         ]
     )
-    def test_no_worse(self, _name, load: Load, uneven: SpeedVariation):
-        pairs = [_play(load, uneven, seed) for seed in _SEEDS]
-        self.assertGreater(_gain(pairs, 'in_time'), -_CHANCE)
-        self.assertGreater(_gain(pairs, 'items_in_time'), -_CHANCE)
-        self.assertLess(_gain(pairs, 'lost'), _CHANCE)
+    def test_no_worse(self, _name, load: Load, variation: SpeedVariation):
+        pairs = [_play(load, variation, seed) for seed in _SEEDS]
+        self.assertGreater(_gain(pairs, 'in_time'), -_NOISE)
+        self.assertGreater(_gain(pairs, 'items_in_time'), -_NOISE)
+        self.assertLess(_gain(pairs, 'lost'), _NOISE)
 
     @parameterized.expand(
         [
@@ -104,6 +106,6 @@
             ('one_turns_slow', SpeedVariation(slow_factor=3)),
         ]
     )
-    def test_same_choices_where_engines_are_alike(self, _name, uneven):
-        learnt, before = _play(_FEWER, uneven, _SEEDS[0])
-        self.assertEqual(before, learnt)
+    def test_same_choices_where_engines_are_alike(self, _name, variation):
+        estimating, baseline = _play(_LIGHT, variation, _SEEDS[0])
+        self.assertEqual(baseline, estimating)
