--- a/testing/src/bendlead_testing/fairness_replay.py
+++ b/testing/src/bendlead_testing/fairness_replay.py
@@ -94,12 +94,10 @@
     team_report_age: float = 0.05
     latency_target: float = 0.3
     timeout: float = 5.0
-    #: Batch jobs per second.
     job_rate: float = 0
     duration: float = 20
     #: Draws the entry that a request of a team reaches; any entry if not set.
     draw_entry: Callable[[int, random.Random], int] | None = None
-    #: When all entries restart.
     restart_at: float = math.inf
 
 
--- a/testing/src/bendlead_testing/replay/_load.py
+++ b/testing/src/bendlead_testing/replay/_load.py
@@ -43,14 +43,12 @@
     client_weights: Sequence[float] = (1, 1, 1, 1, 1)
     slots: int = 7
     entries: int = 58
-    #: Number of shard owners; jobs are assigned to them in turn.
     owners: int = 1
     #: Whether items are held back while online requests are refused.
     holds_back: bool = False
     #: Mean number of online requests and of jobs per second.
     online_rate: float = 174
     job_rate: float = 2.2
-    #: Items of each job.
     items_per_job: int = 10
     #: Start and rate factor of each phase in a period of the online load.
     phases: Sequence[tuple[float, float]] = ((0, 0.377), (3.8, 1.84))
@@ -70,7 +68,6 @@
     #: Share of entries that exchange reports only with one another.
     partitioned_share: float = 0.0
     duration: float = 24.0
-    #: Differences in speed, none where all engines are alike.
     speed_variation: SpeedVariation | None = None
 
     def rate_factor(self, now: float) -> float:
--- a/tests/test_gateway_turns.py
+++ b/tests/test_gateway_turns.py
@@ -37,7 +37,6 @@
     b'HTTP/1.1 200 OK\r\nX-Response-Seal: s1\r\nContent-Length: 2\r\n\r\nok'
 )
 _TEAMS, _USUAL = teams_by_size(77, 87)
-#: Phases of the online load, start and factor.
 _BURSTS = ((0, 0.377), (3.8, 1.84))
 #: Two hot teams while half of the engines are lost.
 _HOT = FairnessLoad(
