--- a/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
@@ -1,4 +1,4 @@
-"""The sharded, fenced ledger of jobs and recorded requests."""
+"""Durable, sharded and fenced log of batch jobs and recorded requests."""
 
 from bendlead_ledger._codec import (
     UnknownFormatError,
--- a/packages/bendlead-ledger/src/bendlead_ledger/_codec.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_codec.py
@@ -1,14 +1,14 @@
-"""Encode stored objects and refuse formats from a newer version."""
+"""Encoding of stored objects; a newer format than known is rejected."""
 
 from typing import Final, TypeVar
 
 import msgspec
 import zstandard
 
-#: The newest format of stored records that this version reads and writes.
+#: Newest format of stored objects that this version reads and writes.
 FORMAT: Final = 1
-_LEVEL = 3
-_MAX_OUTPUT = 268_435_456
+_COMPRESSION_LEVEL = 3
+_MAX_DECOMPRESSED_BYTES = 268_435_456
 
 StoredT = TypeVar('StoredT', bound=msgspec.Struct)
 
@@ -27,24 +27,27 @@
 
 
 def decode(body: bytes, kind: type[StoredT], key: str) -> StoredT:
-    """Decode a stored object, or refuse a newer format by its key."""
-    found = msgspec.json.decode(body, type=_Format).format
-    if found > FORMAT:
+    """Decode a stored object.
+
+    Raises ``UnknownFormatError``, which names the key, for a newer format.
+    """
+    version = msgspec.json.decode(body, type=_Format).format
+    if version > FORMAT:
         raise UnknownFormatError(
-            f'{key} has format {found}; this version reads up to {FORMAT}: '
+            f'{key} has format {version}; this version reads up to {FORMAT}: '
             'upgrade this process before it serves the shard',
         )
     return msgspec.json.decode(body, type=kind)
 
 
 def compress(body: bytes) -> bytes:
-    """Compress bulk bytes."""
-    return zstandard.ZstdCompressor(level=_LEVEL).compress(body)
+    """Compress with zstandard."""
+    return zstandard.ZstdCompressor(level=_COMPRESSION_LEVEL).compress(body)
 
 
 def decompress(body: bytes) -> bytes:
-    """Undo compress."""
+    """Decompress what ``compress`` returned."""
     return zstandard.ZstdDecompressor().decompress(
         body,
-        max_output_size=_MAX_OUTPUT,
+        max_output_size=_MAX_DECOMPRESSED_BYTES,
     )
--- a/packages/bendlead-ledger/src/bendlead_ledger/_committer.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_committer.py
@@ -1,4 +1,4 @@
-"""Group commit: what arrives during one write goes out with the next."""
+"""Group commit: records queued during one write are sent with the next."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,26 +12,25 @@
 from bendlead_ledger._log import ShardLog
 from bendlead_ledger._state import ShardState
 
-#: While a write has been under way this long the store counts as away.
+#: A write that takes longer than this marks the object service as stalled.
 _STALLED_SECONDS = 1.0
-#: A snapshot that could not be written is tried again after this long (s);
-#: meanwhile the log grows by segments.
-_SNAPSHOT_PAUSE = 5.0
-_MAX_BATCH = 2000
-_SHORTEST_INTERVAL = 0.005
+#: Delay before a failed snapshot is retried; the log grows meanwhile.
+_SNAPSHOT_RETRY_SECONDS = 5.0
+_MAX_BATCH_COMMITS = 2000
+_MIN_INTERVAL_SECONDS = 0.005
 
 
-def _nothing() -> Sequence[Record]:
+def _no_records() -> Sequence[Record]:
     return ()
 
 
-class _Ticket(Struct):
+class _PendingCommit(Struct):
     records: Sequence[Record]
-    done: AsyncResult = field(default_factory=AsyncResult)
+    outcome: AsyncResult = field(default_factory=AsyncResult)
 
 
 class Committer:
-    """Let many tasks share one conditional update of a shard's head."""
+    """Commit the records of many tasks in one update of a shard's head."""
 
     def __init__(
         self,
@@ -39,16 +38,22 @@
         state: ShardState,
         interval: Callable[[], float],
         on_lost: Callable[[], None],
-        riders: Callable[[], Sequence[Record]] = _nothing,
+        piggyback: Callable[[], Sequence[Record]] = _no_records,
     ) -> None:
-        """Ask for riders, records nobody waits for, before each write."""
+        """Start the commit task.
+
+        ``interval`` returns the least time between writes in seconds.
+        ``on_lost`` is called when the shard can no longer be written.
+        ``piggyback`` is called before each write and returns records to send
+        with it for which no task waits.
+        """
         self._log = log
         self._state = state
         self._interval = interval
         self._on_lost = on_lost
-        self._riders = riders
-        self._queue: list[_Ticket] = []
-        self._writing: Sequence[_Ticket] = ()
+        self._piggyback = piggyback
+        self._queue: list[_PendingCommit] = []
+        self._writing: Sequence[_PendingCommit] = ()
         self._wake = Event()
         self._lost = False
         self._writing_since = 0.0
@@ -60,34 +65,34 @@
 
     @property
     def lost(self) -> bool:
-        """Tell whether the shard is no longer ours to write."""
+        """Whether this process can no longer write the shard."""
         return self._lost
 
     @property
     def failure(self) -> Failure | None:
-        """Tell why the shard was lost, where it was not by being fenced."""
+        """Why the shard was lost; None if it was fenced or is not lost."""
         return self._failure
 
     @property
     def snapshot_failure(self) -> Failure | None:
-        """Tell why the latest snapshot could not be written, if so."""
+        """Why the latest snapshot failed; None if it was written."""
         return self._snapshot_failure
 
     @property
     def stalled(self) -> bool:
-        """Tell whether the store has not answered a write for a while."""
+        """Whether the write in progress exceeds the stall threshold."""
         return self.writing_seconds > _STALLED_SECONDS
 
     @property
     def writing_seconds(self) -> float:
-        """Tell for how long the write under way has been tried."""
+        """Age of the write in progress in seconds; 0 if there is none."""
         if not self._writing_since:
             return 0
         return clock.uptime() - self._writing_since
 
     @property
     def last_write_seconds(self) -> float:
-        """Tell how long the latest whole write took."""
+        """Duration of the latest finished write in seconds."""
         return self._last_write_seconds
 
     def commit(
@@ -95,112 +100,133 @@
         records: Sequence[Record],
         timeout: float | None = None,
     ) -> Result[Sequence[bool], Failure]:
-        """Make records durable and tell which of them took effect."""
+        """Write records durably; return for each whether it changed the state.
+
+        Without a timeout (seconds) the call waits until the write is settled.
+        """
         if self._lost:
-            return self._failed(FailureKind.CONFLICT, 'shard lost')
+            return self._failed(
+                FailureKind.CONFLICT, 'this process no longer owns the shard'
+            )
         if timeout and self.stalled:
-            return self._failed(FailureKind.NOT_DONE, 'object service away')
-        ticket = _Ticket(records)
-        self._queue.append(ticket)
+            return self._failed(
+                FailureKind.NOT_DONE,
+                'object service does not answer; nothing was written',
+            )
+        pending = _PendingCommit(records)
+        self._queue.append(pending)
         self._wake.set()
         try:
-            return ticket.done.get(timeout=timeout)
+            return pending.outcome.get(timeout=timeout)
         except gevent.Timeout:
-            return self._withdraw(ticket)
+            return self._withdraw(pending)
 
     def close(self) -> None:
-        """Stop committing; what is queued fails as not done.
+        """Stop committing and fail every waiting commit.
 
-        What is being written may take effect: its outcome is unknown.
+        Queued commits fail as CONFLICT. The outcome of the write in progress
+        is unknown.
         """
         self._lost = True
         self._task.kill()
-        for ticket in self._writing:
-            unknown = self._failed(FailureKind.UNKNOWN, 'closed meanwhile')
-            ticket.done.set(unknown)
+        for pending in self._writing:
+            unknown = self._failed(
+                FailureKind.UNKNOWN, 'shard was closed during the write'
+            )
+            pending.outcome.set(unknown)
         self._writing = ()
         self._fail_queued()
 
-    def _withdraw(self, ticket: _Ticket) -> Err[Failure]:
-        if ticket in self._queue:
-            self._queue.remove(ticket)
-            return self._failed(FailureKind.NOT_DONE, 'object service away')
-        return self._failed(FailureKind.UNKNOWN, 'no answer in time')
+    def _withdraw(self, pending: _PendingCommit) -> Err[Failure]:
+        if pending in self._queue:
+            self._queue.remove(pending)
+            return self._failed(
+                FailureKind.NOT_DONE,
+                'timed out in the queue; nothing was written',
+            )
+        return self._failed(FailureKind.UNKNOWN, 'timed out during the write')
 
     def _run(self) -> None:
         while not self._lost:
             self._wake.wait()
             self._wake.clear()
             if self._queue:
-                self._commit_or_lose()
-                gevent.sleep(max(_SHORTEST_INTERVAL, self._interval()))
+                self._commit_or_mark_lost()
+                gevent.sleep(max(_MIN_INTERVAL_SECONDS, self._interval()))
 
-    def _commit_or_lose(self) -> None:
-        """Commit; a fault of ours must leave nobody waiting for ever."""
+    def _commit_or_mark_lost(self) -> None:
+        """Commit; on an unexpected exception fail all waiting commits."""
         try:
             self._commit_queued()
         except Exception:
-            # The traceback goes to standard error with the end of the task.
-            detail = 'a record could not be written'
-            self._lose(self._writing, self._failed(FailureKind.UNKNOWN, detail))
+            # gevent prints the traceback when the task ends.
+            detail = 'unexpected exception during the write; see standard error'
+            self._mark_lost(
+                self._writing, self._failed(FailureKind.UNKNOWN, detail)
+            )
             raise
 
     def _commit_queued(self) -> None:
-        batch = self._queue[:_MAX_BATCH]
-        self._queue = self._queue[_MAX_BATCH:]
+        batch = self._queue[:_MAX_BATCH_COMMITS]
+        self._queue = self._queue[_MAX_BATCH_COMMITS:]
         if self._queue:
             self._wake.set()
-        records = [record for ticket in batch for record in ticket.records]
-        riders = self._riders()
+        records = [record for pending in batch for record in pending.records]
+        piggyback = self._piggyback()
         self._writing_since = clock.uptime()
         self._writing = batch
-        committed = self._log.commit([*records, *riders])
+        committed = self._log.commit([*records, *piggyback])
         self._last_write_seconds = self.writing_seconds
         self._writing_since = 0
         if isinstance(committed, Err):
             self._writing = ()
-            self._lose(batch, committed)
+            self._mark_lost(batch, committed)
             return
-        for ticket in batch:
-            effects = [self._state.apply(record) for record in ticket.records]
-            ticket.done.set(Ok(effects))
-        self._state.replay(riders)
+        for pending in batch:
+            effects = [self._state.apply(record) for record in pending.records]
+            pending.outcome.set(Ok(effects))
+        self._state.replay(piggyback)
         self._writing = ()
         if self._log.fenced:
-            self._lose([])
+            self._mark_lost([])
         elif self._log.needs_snapshot():
-            self._fold()
+            self._write_snapshot()
 
-    def _fold(self) -> None:
+    def _write_snapshot(self) -> None:
         if clock.uptime() < self._next_snapshot:
             return
-        folded = self._log.fold(self._state)
+        written = self._log.fold(self._state)
         self._snapshot_failure = None
-        if isinstance(folded, Ok):
+        if isinstance(written, Ok):
             return
         if self._log.fenced:
-            self._lose([], folded)
+            self._mark_lost([], written)
             return
-        # Nothing is lost with it: the log it would have replaced is whole.
-        self._snapshot_failure = folded.err_value
-        self._next_snapshot = clock.uptime() + _SNAPSHOT_PAUSE
+        # The log that the snapshot would have replaced is still complete.
+        self._snapshot_failure = written.err_value
+        self._next_snapshot = clock.uptime() + _SNAPSHOT_RETRY_SECONDS
 
-    def _lose(
+    def _mark_lost(
         self,
-        batch: Sequence[_Ticket],
+        batch: Sequence[_PendingCommit],
         failure: Err[Failure] | None = None,
     ) -> None:
         self._lost = True
         self._failure = failure.err_value if failure else None
-        for ticket in batch:
-            ticket.done.set(failure)
+        for pending in batch:
+            pending.outcome.set(failure)
         self._fail_queued()
         self._on_lost()
 
     def _fail_queued(self) -> None:
         queued, self._queue = self._queue, []
-        for ticket in queued:
-            ticket.done.set(self._failed(FailureKind.CONFLICT, 'shard lost'))
+        for pending in queued:
+            pending.outcome.set(
+                self._failed(
+                    FailureKind.CONFLICT,
+                    'this process no longer owns the shard',
+                )
+            )
 
     def _failed(self, kind: FailureKind, detail: str) -> Err[Failure]:
         return Err(Failure(kind, 'commit', 'object service', detail, 1))
--- a/packages/bendlead-ledger/src/bendlead_ledger/_direct.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_direct.py
@@ -1,8 +1,8 @@
-"""A job whose items and results live in the log itself.
+"""State of a direct job, whose items and results are stored in the log.
 
-The order of results is the order of their records, so that a position, once
-read, holds the same result for ever and on every node. Progress of an item
-goes on behind the event that the log holds last, or it changes nothing.
+Results keep the order of their records, so that a position always refers to
+the same result on every node. Progress of an item is accepted only if it starts
+right after the last event that was saved.
 """
 
 import base64
@@ -21,28 +21,28 @@
 
 from bendlead_ledger import _codec
 
-#: Items of this many compressed bytes and more get objects of their own.
+#: Items of this compressed size or more are stored in separate objects.
 _INLINE_BYTES = 48_000
-_ITEMS = msgspec.json.Decoder(list[DirectItem])
-#: Names the event before an item's first one.
+_ITEMS_DECODER = msgspec.json.Decoder(list[DirectItem])
+#: Event number before the first event of an item.
 BEFORE_FIRST = -1
 
 
 class KeptProgress(Struct):
-    """Keep the events that the log holds of an item without result."""
+    """Events saved in the log of an item that has no result yet."""
 
     last_event: int = BEFORE_FIRST
-    #: Seconds for which runs of the item have held places.
+    #: Total time for which runs of the item have used slots.
     spent: float = 0
     _texts: list[str] = field(default_factory=list)
 
     @property
     def text(self) -> str:
-        """Give the data of all events, parted by line feeds."""
+        """Data of all events, separated by line feeds."""
         return '\n'.join(self._texts)
 
     def extend(self, progress: DirectProgress) -> bool:
-        """Take the events behind the last one; others change nothing."""
+        """Append events that follow the last one; return whether they did."""
         if progress.after != self.last_event:
             return False
         self.last_event = progress.last_event
@@ -52,24 +52,24 @@
 
 
 class DirectJobState(Struct):
-    """Keep the results of one job in their order."""
+    """Results and progress of one direct job."""
 
     accepted: DirectJobAccepted
     results: list[DirectResult] = field(default_factory=list)
     ended: bool = False
     kept: dict[str, KeptProgress] = field(default_factory=dict)
-    #: Runs of items without result that their engines failed.
+    #: Failed runs of each item that has no result yet.
     failures: dict[str, int] = field(default_factory=dict)
     _done: set[str] = field(default_factory=set)
 
     @property
     def open(self) -> bool:
-        """Tell whether items of the job may still be run."""
+        """Whether items of the job may still be run."""
         return not self.ended and len(self.results) < self.accepted.total
 
     @classmethod
     def restored(cls, snapshot: DirectJobSnapshot) -> 'DirectJobState':
-        """Take over what a snapshot holds."""
+        """Return the state that a snapshot holds."""
         job = cls(snapshot.accepted, ended=snapshot.ended)
         job.record(snapshot.results)
         job.keep(snapshot.progress)
@@ -77,46 +77,49 @@
         return job
 
     def listed(self, item: str) -> bool:
-        """Tell whether an item has its result."""
+        """Return whether an item has its result."""
         return item in self._done
 
     def record(self, results: Sequence[DirectResult]) -> bool:
-        """Append the first result of each item; later ones change nothing."""
-        fresh = False
-        for one in results:
-            if one.item not in self._done:
-                self._done.add(one.item)
-                self.results.append(one)
-                self.kept.pop(one.item, None)
-                self.failures.pop(one.item, None)
-                fresh = True
-        return fresh
+        """Append the first result of each item; ignore later ones.
+
+        Returns whether the state changed.
+        """
+        changed = False
+        for result in results:
+            if result.item not in self._done:
+                self._done.add(result.item)
+                self.results.append(result)
+                self.kept.pop(result.item, None)
+                self.failures.pop(result.item, None)
+                changed = True
+        return changed
 
     def keep(self, progress: Sequence[DirectProgress]) -> bool:
-        """Keep the events of items that may still be run."""
-        fresh = False
-        for one in progress:
-            if self.ended or one.item in self._done:
+        """Add events of items that may still run; return whether any is new."""
+        changed = False
+        for update in progress:
+            if self.ended or update.item in self._done:
                 continue
-            kept = self.kept.get(one.item, KeptProgress())
-            if kept.extend(one):
-                self.kept[one.item] = kept
-                fresh = True
-        return fresh
+            saved = self.kept.get(update.item, KeptProgress())
+            if saved.extend(update):
+                self.kept[update.item] = saved
+                changed = True
+        return changed
 
     def count(self, failed: Sequence[ItemFailures]) -> bool:
-        """Take how often items have failed; a lower count changes nothing."""
-        fresh = False
-        for one in failed:
-            if self.ended or one.item in self._done:
+        """Update failure counts that rose; return whether any did."""
+        changed = False
+        for update in failed:
+            if self.ended or update.item in self._done:
                 continue
-            if one.failures > self.failures.get(one.item, 0):
-                self.failures[one.item] = one.failures
-                fresh = True
-        return fresh
+            if update.failures > self.failures.get(update.item, 0):
+                self.failures[update.item] = update.failures
+                changed = True
+        return changed
 
     def end(self) -> bool:
-        """End the job, once."""
+        """End the job; return False if it had ended before."""
         if self.ended:
             return False
         self.ended = True
@@ -125,7 +128,7 @@
         return True
 
     def snapshot(self) -> DirectJobSnapshot:
-        """Write the job down."""
+        """Return the job as a snapshot record."""
         return DirectJobSnapshot(
             accepted=self.accepted,
             results=list(self.results),
@@ -133,11 +136,11 @@
             progress=[
                 DirectProgress(
                     item=item,
-                    last_event=one.last_event,
-                    text=one.text,
-                    spent=one.spent,
+                    last_event=saved.last_event,
+                    text=saved.text,
+                    spent=saved.spent,
                 )
-                for item, one in self.kept.items()
+                for item, saved in self.kept.items()
             ],
             failed=[
                 ItemFailures(item=item, failures=count)
@@ -147,7 +150,10 @@
 
 
 def pack_items(items: Sequence[DirectItem]) -> tuple[str, bytes]:
-    """Give the items as text for the record, or as bytes for objects."""
+    """Return the items as text for the record, or as bytes for objects.
+
+    The other one is empty.
+    """
     packed = _codec.compress(msgspec.json.encode(items))
     if len(packed) < _INLINE_BYTES:
         return base64.b64encode(packed).decode(), b''
@@ -155,6 +161,6 @@
 
 
 def unpack_items(packed: str, parts: bytes) -> list[DirectItem]:
-    """Undo pack_items."""
+    """Return the items that ``pack_items`` packed."""
     compressed = base64.b64decode(packed) if packed else parts
-    return _ITEMS.decode(_codec.decompress(compressed))
+    return _ITEMS_DECODER.decode(_codec.decompress(compressed))
--- a/packages/bendlead-ledger/src/bendlead_ledger/_ids.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_ids.py
@@ -1,4 +1,4 @@
-"""Ids that carry the shard that keeps what they name."""
+"""Ids of jobs and requests; they contain the number of their shard."""
 
 import uuid
 from typing import NewType
@@ -13,34 +13,34 @@
 JOB_PREFIX = 'batch_'
 REQUEST_PREFIX = 'chatcmpl-'
 _SHARD_DIGITS = 4
-_HEX = 16
+_HEXADECIMAL = 16
 
 
 def unique() -> str:
-    """Make a name that no other process makes."""
+    """Return a random id of 32 hexadecimal digits."""
     return uuid.uuid4().hex
 
 
 def digest(*parts: str) -> str:
-    """Hash texts into a fixed-size name."""
+    """Return a 128-bit hash of the texts as hexadecimal digits."""
     return xxhash.xxh3_128_hexdigest('\0'.join(parts).encode())
 
 
 def job_id(team: str, key: str, shards: int) -> JobId:
-    """Make the id of a job, always the same for a team and a key."""
+    """Return the id of a job: random for an empty key, else derived from it."""
     return JobId(JOB_PREFIX + _sharded(team, key, shards))
 
 
 def request_id(team: str, key: str, shards: int) -> RequestId:
-    """Make the id of a request, always the same for a team and a key."""
+    """Return the id of a request: random for an empty key, else derived."""
     return RequestId(REQUEST_PREFIX + _sharded(team, key, shards))
 
 
 def shard_of(sharded_id: str, shards: int) -> ShardId | None:
-    """Read the shard out of an id, or nothing where it is not ours."""
+    """Return the shard of an id, or None if the id is not valid."""
     name = sharded_id.removeprefix(JOB_PREFIX).removeprefix(REQUEST_PREFIX)
     try:
-        shard = int(name[:_SHARD_DIGITS], _HEX)
+        shard = int(name[:_SHARD_DIGITS], _HEXADECIMAL)
     except ValueError:
         return None
     return ShardId(shard) if shard < shards else None
@@ -48,5 +48,5 @@
 
 def _sharded(team: str, key: str, shards: int) -> str:
     name = digest(team, key or unique())
-    shard = int(name, _HEX) % shards
+    shard = int(name, _HEXADECIMAL) % shards
     return f'{shard:0{_SHARD_DIGITS}x}{name}'
--- a/packages/bendlead-ledger/src/bendlead_ledger/_input.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_input.py
@@ -1,4 +1,4 @@
-"""Store uploaded batch files as packed lines, and read them back."""
+"""Uploaded batch files, stored as compressed chunks of lines."""
 
 from collections.abc import Iterator, Sequence
 
@@ -17,7 +17,7 @@
 
 
 class BatchLine(msgspec.Struct):
-    """Read what matters of one line of a batch file."""
+    """Fields of one line of a batch file."""
 
     custom_id: str
     url: str
@@ -29,16 +29,16 @@
     model: str
 
 
-_LINE = msgspec.json.Decoder(BatchLine)
-_MODEL = msgspec.json.Decoder(_BodyModel)
+_LINE_DECODER = msgspec.json.Decoder(BatchLine)
+_MODEL_DECODER = msgspec.json.Decoder(_BodyModel)
 
 
 class TooManyErrorsError(Exception):
-    """A file has more unreadable lines than are worth keeping."""
+    """A batch file has too many invalid lines."""
 
 
 class FileWriter:
-    """Check and store a file of any length in bounded memory."""
+    """Validate and store a file in chunks, so that memory use is bounded."""
 
     def __init__(
         self,
@@ -51,40 +51,40 @@
         self._file = file_id
         self._models = models
         self._line_bytes = line_bytes
-        self._rest = b''
+        self._partial_line = b''
         self._lines: list[bytes] = []
-        self._gathered = 0
-        self._seen: set[int] = set()
+        self._queued_bytes = 0
+        self._custom_ids: set[int] = set()
         self.chunks: list[ChunkRef] = []
         self.errors: list[LineError] = []
         self.item_count = 0
         self.size = 0
 
     def feed(self, block: bytes) -> Result[None, Failure]:
-        """Take the next block of the file."""
+        """Add the next block of the file."""
         self.size += len(block)
-        lines = (self._rest + block).split(b'\n')
-        self._rest = lines.pop()
-        if len(self._rest) > self._line_bytes:
-            return self._refused('a line is longer than allowed')
+        lines = (self._partial_line + block).split(b'\n')
+        self._partial_line = lines.pop()
+        if len(self._partial_line) > self._line_bytes:
+            return self._rejected('a line is longer than allowed')
         for line in lines:
             self._add(line)
         if len(self.errors) > _MAX_ERRORS:
-            return self._refused(f'over {_MAX_ERRORS} lines cannot be run')
-        if self._gathered >= _CHUNK_BYTES:
+            return self._rejected(f'over {_MAX_ERRORS} lines cannot be run')
+        if self._queued_bytes >= _CHUNK_BYTES:
             return self._store_chunk()
         return Ok(None)
 
     def finish(self) -> Result[None, Failure]:
-        """Store what is left."""
-        self._add(self._rest)
-        self._rest = b''
+        """Store the remaining lines."""
+        self._add(self._partial_line)
+        self._partial_line = b''
         if self._lines:
             return self._store_chunk()
         return Ok(None)
 
     def manifest(self, team: str, name: str, created_at: int) -> FileManifest:
-        """Describe the stored file."""
+        """Return the manifest of the stored file."""
         return FileManifest(
             format=_codec.FORMAT,
             file=self._file,
@@ -109,27 +109,27 @@
                 LineError(line=self.item_count, code=code, message=message),
             )
         self._lines.append(line)
-        self._gathered += len(line)
+        self._queued_bytes += len(line)
 
     def _problem(self, line: bytes) -> tuple[str, str] | None:
         if len(line) > self._line_bytes:
             return 'line_too_long', f'over {self._line_bytes} bytes'
         try:
-            parsed = _LINE.decode(line)
-            model = _MODEL.decode(parsed.body).model
+            parsed = _LINE_DECODER.decode(line)
+            model = _MODEL_DECODER.decode(parsed.body).model
         except msgspec.DecodeError as error:
             return 'invalid_line', str(error)
         if model not in self._models:
             return 'model_not_found', f'no service offers model {model!r}'
         name = xxhash.xxh3_64_intdigest(parsed.custom_id.encode())
-        if name in self._seen:
+        if name in self._custom_ids:
             return 'duplicate_custom_id', parsed.custom_id
-        self._seen.add(name)
+        self._custom_ids.add(name)
         return None
 
     def _store_chunk(self) -> Result[None, Failure]:
         lines, self._lines = self._lines, []
-        self._gathered = 0
+        self._queued_bytes = 0
         first = self.item_count - len(lines)
         key = f'files/{self._file}/chunk/{first:08d}'
         body = gevent.get_hub().threadpool.apply(
@@ -139,12 +139,12 @@
         self.chunks.append(ChunkRef(key=key, first=first, count=len(lines)))
         return write_once(self._store, key, body)
 
-    def _refused(self, detail: str) -> Err[Failure]:
+    def _rejected(self, detail: str) -> Err[Failure]:
         return Err(Failure(FailureKind.REFUSED, 'upload', self._file, detail))
 
 
 class ChunkReader:
-    """Read lines of stored files, keeping the latest chunks decoded."""
+    """Reader of stored files with a cache of decompressed chunks."""
 
     def __init__(self, store: ValueStore, keep: int = 8) -> None:
         self._store = store
@@ -152,10 +152,10 @@
         self._chunks: dict[str, Sequence[bytes]] = {}
 
     def lines(self, key: str) -> Result[Sequence[bytes], Failure]:
-        """Read one chunk."""
-        known = self._chunks.get(key)
-        if known is not None:
-            return Ok(known)
+        """Return the lines of one chunk."""
+        cached = self._chunks.get(key)
+        if cached is not None:
+            return Ok(cached)
         found = self._store.fetch(key)
         if isinstance(found, Err):
             return found
@@ -172,7 +172,7 @@
         chunks: Sequence[ChunkRef],
         wanted: Sequence[int],
     ) -> Result[dict[int, BatchLine], Failure]:
-        """Read the lines at the wanted positions."""
+        """Return the lines at the given positions of a file."""
         found = {}
         for position in wanted:
             chunk = chunk_at(chunks, position)
@@ -180,12 +180,12 @@
             if isinstance(lines, Err):
                 return lines
             line = lines.ok_value[position - chunk.first]
-            found[position] = _LINE.decode(line)
+            found[position] = _LINE_DECODER.decode(line)
         return Ok(found)
 
 
 def chunk_at(chunks: Sequence[ChunkRef], position: int) -> ChunkRef:
-    """Find the chunk that holds a position."""
+    """Return the chunk that contains a position, by binary search."""
     low, high = 0, len(chunks)
     while high - low > 1:
         middle = (low + high) // 2
@@ -200,6 +200,6 @@
     reader: ChunkReader,
     chunks: Sequence[ChunkRef],
 ) -> Iterator[Result[Sequence[bytes], Failure]]:
-    """Read a stored file chunk by chunk."""
+    """Yield the lines of each chunk of a file."""
     for chunk in chunks:
         yield reader.lines(chunk.key)
--- a/packages/bendlead-ledger/src/bendlead_ledger/_jobs.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_jobs.py
@@ -1,4 +1,4 @@
-"""Answer the commands that concern batch jobs."""
+"""Commands on batch jobs."""
 
 import time
 from collections import defaultdict
@@ -45,7 +45,7 @@
 from bendlead_ledger._runs import RunTable
 from bendlead_ledger._state import ItemStatus, JobState, ShardState
 
-#: The code of a refusal that sends the caller to another owner.
+#: Code of a refusal: another process owns the shard.
 NOT_OWNER = 'not_owner'
 _COMMIT_SECONDS = 5.0
 _ITEM_FAILED = 500
@@ -61,14 +61,14 @@
 
 
 class _Cursor(Struct):
-    """Remember where the scan for waiting items of a job stands."""
+    """Position up to which the items of a job were scanned for waiting ones."""
 
     position: int = 0
     returned: list[int] = field(default_factory=list)
 
 
 class JobCommands:
-    """Own the jobs of one shard: accept, grant, record, cancel."""
+    """Handler of commands on the batch jobs of one shard."""
 
     def __init__(
         self,
@@ -93,26 +93,26 @@
         self._cursors: dict[str, _Cursor] = defaultdict(_Cursor)
 
     def submit(self, command: SubmitJob) -> Reply:
-        """Accept a job, or show the one accepted earlier by this key."""
-        present = self._state.jobs.get(command.job)
-        if present is None:
-            record = _accepted(command)
+        """Accept a job, or return the one accepted earlier under its id."""
+        job = self._state.jobs.get(command.job)
+        if job is None:
+            record = _job_accepted(command)
             done = self._committer.commit([record], _COMMIT_SECONDS)
             if isinstance(done, Err):
                 return refusal(done.err_value)
-            present = self._state.jobs[command.job]
-        if present.accepted.fingerprint != command.fingerprint:
+            job = self._state.jobs[command.job]
+        if job.accepted.fingerprint != command.fingerprint:
             return Refusal(
                 code='idempotency_mismatch',
                 message='this key was used for another batch',
             )
-        return view(present)
+        return view(job)
 
     def cancel(self, command: CancelJob) -> Reply:
-        """Cancel a job; nothing of it is recorded afterwards."""
+        """Cancel a job; later results of its items are not recorded."""
         job = self._job(command.job, command.team)
         if job is None:
-            return _missing(command.job)
+            return _not_found(command.job)
         if job.active:
             record = JobCancelled(job=command.job, at=time.time())
             done = self._committer.commit([record], _COMMIT_SECONDS)
@@ -122,12 +122,12 @@
         return view(job)
 
     def describe(self, command: DescribeJob) -> Reply:
-        """Show one job."""
+        """Return the view of a job."""
         job = self._job(command.job, command.team)
-        return view(job) if job else _missing(command.job)
+        return view(job) if job else _not_found(command.job)
 
     def list_jobs(self, command: ListJobs) -> Reply:
-        """Show the jobs of a team."""
+        """Return the views of all jobs of a team."""
         jobs = self._state.jobs.values()
         return JobList(
             jobs=[
@@ -136,10 +136,10 @@
         )
 
     def output(self, command: FetchOutput) -> Reply:
-        """Tell where the results of a job are."""
+        """Return where the input and the results of a job are stored."""
         job = self._job(command.job, command.team)
         if job is None:
-            return _missing(command.job)
+            return _not_found(command.job)
         failed = [
             position
             for position, status in enumerate(job.status)
@@ -153,17 +153,17 @@
         )
 
     def grant(self, command: GrantRun) -> Reply:
-        """Lease the next items of the job that is most in need."""
+        """Lease the next items of the first job in grant order that has any."""
         for job in self._order.ranked(self._state.jobs.values()):
             if job.accepted.path not in command.paths:
                 continue
             positions = self._next_positions(job, command.limit)
             if positions:
-                return self._lease(job, command.endpoint, positions)
+                return self._grant_items(job, command.endpoint, positions)
         return NoWork()
 
     def renew(self, command: RenewRuns) -> Reply:
-        """Renew leases; name the runs whose job needs them no more."""
+        """Renew leases; return the runs to stop, whose job is not active."""
         stop = []
         live = []
         for lease in command.runs:
@@ -176,15 +176,15 @@
         return RenewedRuns(stop=stop)
 
     def report(self, command: ReportRun) -> Reply:
-        """Record results; take back what was not finished."""
+        """Record results and make unfinished items available again."""
         job = self._state.jobs.get(command.job)
         if job is None:
-            # A stale owner knows no later jobs; its word must not count.
-            return _missing(command.job)
+            # A former owner that does not know the job must not acknowledge.
+            return _not_found(command.job)
         if not job.active:
             return Acknowledged()
         lines = [
-            _line(command.job, report)
+            _result_line(command.job, report)
             for report in command.reports
             if job.waits(report.position)
         ]
@@ -196,40 +196,43 @@
         if command.failed:
             self._count_failed(job, command.failed)
         reported = [report.position for report in command.reports]
-        back = (*command.returned, *command.failed)
-        self._runs.release(command.run, (*reported, *back))
-        self._cursors[command.job].returned.extend(back)
+        released = (*command.returned, *command.failed)
+        self._runs.release(command.run, (*reported, *released))
+        self._cursors[command.job].returned.extend(released)
         if not job.active:
             self._runs.drop_job(command.job)
             self._cursors.pop(command.job, None)
         return Acknowledged()
 
     def expire(self) -> int:
-        """Take back lapsed runs and count an attempt for their items."""
-        lapsed = self._runs.expired()
-        for run in lapsed:
+        """Release expired runs, count a failed attempt for each of their items.
+
+        Returns the number of expired runs.
+        """
+        expired = self._runs.expired()
+        for run in expired:
             job = self._state.jobs.get(run.job)
             if job and job.active:
                 positions = sorted(run.positions)
                 self._count_failed(job, positions)
                 self._cursors[run.job].returned.extend(positions)
-        return len(lapsed)
+        return len(expired)
 
     def summary(self) -> list[str]:
-        """Show each active job, for the state dump."""
+        """Return one line for each active job, for the state dump."""
         return [
             f'{name} waiting={job.remaining}'
-            f' leased={len(self._runs.held(name))}'
+            f' leased={len(self._runs.leased(name))}'
             f' returned={len(self._cursors[name].returned)}'
             f' next={self._cursors[name].position}'
             for name, job in self._state.jobs.items()
             if job.active
         ]
 
-    def hurries(self, lines: Sequence[ResultLine]) -> bool:
-        """Tell whether gathered results finish all that is out."""
-        out = sum(len(self._runs.held(job)) for job in self._state.jobs)
-        return len(lines) >= out
+    def covers_leased_items(self, lines: Sequence[ResultLine]) -> bool:
+        """Return whether the results cover all leased items of the shard."""
+        leased = sum(len(self._runs.leased(job)) for job in self._state.jobs)
+        return len(lines) >= leased
 
     def _job(self, job_id: str, team: str) -> JobState | None:
         job = self._state.jobs.get(job_id)
@@ -250,19 +253,19 @@
         return positions
 
     def _candidates(self, job: JobState) -> Iterator[int]:
-        held = self._runs.held(job.accepted.job)
+        leased = self._runs.leased(job.accepted.job)
         cursor = self._cursors[job.accepted.job]
         while cursor.returned:
             position = cursor.returned.pop(0)
-            if job.waits(position) and position not in held:
+            if job.waits(position) and position not in leased:
                 yield position
         while cursor.position < len(job.status):
             position = cursor.position
             cursor.position += 1
-            if job.waits(position) and position not in held:
+            if job.waits(position) and position not in leased:
                 yield position
 
-    def _lease(
+    def _grant_items(
         self,
         job: JobState,
         endpoint: str,
@@ -283,7 +286,7 @@
             lease_seconds=self._settings.lease,
             deadline=job.accepted.deadline,
             items=[
-                _granted(job, position, line)
+                _granted_item(job, position, line)
                 for position, line in read.ok_value.items()
             ],
         )
@@ -293,8 +296,8 @@
         record = AttemptFailed(job=job_id, positions=list(positions))
         self._committer.commit([record])
         limit = self._settings.attempts
-        spent = [at for at in positions if job.attempts.get(at, 0) >= limit]
-        if spent:
+        exhausted = [at for at in positions if job.attempts.get(at, 0) >= limit]
+        if exhausted:
             body = _ITEM_FAILED_BODY % limit
             self._packer.record(
                 [
@@ -305,13 +308,13 @@
                         body=body,
                         attempts=limit,
                     )
-                    for position in spent
+                    for position in exhausted
                 ]
             )
 
 
 def view(job: JobState) -> JobView:
-    """Show a job to callers."""
+    """Return the view of a job that callers receive."""
     accepted = job.accepted
     return JobView(
         job=accepted.job,
@@ -330,7 +333,7 @@
 
 
 def refusal(failure: Failure) -> Refusal:
-    """Tell a caller what a failed commit means for the command."""
+    """Return the refusal for a command whose commit failed."""
     code = _REFUSAL_CODES.get(failure.kind, 'not_accepted')
     return Refusal(
         code=code,
@@ -345,11 +348,11 @@
     return JobPhase.completed if job.finished_at else JobPhase.in_progress
 
 
-def _missing(job_id: str) -> Refusal:
+def _not_found(job_id: str) -> Refusal:
     return Refusal(code='not_found', message=f'no batch {job_id}')
 
 
-def _accepted(command: SubmitJob) -> JobAccepted:
+def _job_accepted(command: SubmitJob) -> JobAccepted:
     return JobAccepted(
         job=command.job,
         team=command.team,
@@ -366,7 +369,7 @@
     )
 
 
-def _granted(job: JobState, position: int, line: BatchLine) -> GrantedItem:
+def _granted_item(job: JobState, position: int, line: BatchLine) -> GrantedItem:
     return GrantedItem(
         position=position,
         path=line.url,
@@ -376,7 +379,7 @@
     )
 
 
-def _line(job_id: str, report: ItemReport) -> ResultLine:
+def _result_line(job_id: str, report: ItemReport) -> ResultLine:
     return ResultLine(
         job=job_id,
         position=report.position,
--- a/packages/bendlead-ledger/src/bendlead_ledger/_log.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_log.py
@@ -1,8 +1,8 @@
-"""The fenced log of one shard in the object service.
+"""Fenced log of one shard in the object service.
 
-The head is the only object that changes, and only by conditional update: its
-version is the fence. Everything else is immutable under a unique name and
-becomes part of the log when a head refers to it.
+The head is the only object that is updated, always conditionally on its
+version, which fences former owners. All other objects are immutable, have a
+unique name and belong to the log once a head refers to them.
 """
 
 import random
@@ -33,8 +33,8 @@
 from bendlead_ledger import _codec
 from bendlead_ledger._ids import ShardId, unique
 from bendlead_ledger._objects import (
-    FIRST_BACKOFF,
-    LAST_BACKOFF,
+    MAX_BACKOFF_SECONDS,
+    MIN_BACKOFF_SECONDS,
     read_each,
     read_parts,
     write_once,
@@ -42,20 +42,20 @@
 )
 from bendlead_ledger._state import ShardState
 
-_SEGMENT = msgspec.json.Decoder(list[Record])
-#: Records of one segment (bytes before they are compressed).
+_SEGMENT_DECODER = msgspec.json.Decoder(list[Record])
+#: Largest size of the records of one segment before compression.
 _SEGMENT_BYTES = 600_000
 
 
 class Owner(Struct, frozen=True):
-    """Name the process that writes a shard and where to reach it."""
+    """Name and address of the process that writes a shard."""
 
     node: str
     address: str
 
 
 class ShardLog:
-    """Append records to a shard as long as no other owner has fenced us."""
+    """Log of one shard, writable until another owner takes the shard over."""
 
     def __init__(
         self,
@@ -72,36 +72,36 @@
         self._version = ABSENT
         self._fenced = False
         self._confirmed_at = 0.0
-        #: Versions of the segments that were written here.
+        #: Versions of the segments that this process has written.
         self._versions: dict[str, Version] = {}
 
     @property
     def confirmed_at(self) -> float:
-        """Tell when ownership was last proved, on the steady clock (s)."""
+        """Time when ownership was last confirmed, by ``clock.uptime``."""
         return self._confirmed_at
 
     @property
     def fenced(self) -> bool:
-        """Tell whether another owner has been seen at a higher epoch."""
+        """Whether another owner has taken the shard over."""
         return self._fenced
 
     @property
     def epoch(self) -> int:
-        """Tell the epoch at which this process owns the shard."""
+        """Epoch at which this process owns the shard; 0 before the takeover."""
         return self._head.epoch if self._head else 0
 
     @property
     def sequence(self) -> int:
-        """Tell how many records are committed."""
+        """Number of committed records."""
         return self._head.sequence if self._head else 0
 
     def take_over(self) -> Result[ShardState, Failure]:
-        """Fence every earlier owner, then replay what it committed."""
+        """Fence earlier owners, then return the state they committed."""
         found = self._read_head()
         if isinstance(found, Err):
             return found
         entry = found.ok_value
-        head = self._claimed(entry)
+        head = self._next_epoch_head(entry)
         version = entry.version if entry else ABSENT
         written = self._write_head(head, version)
         if isinstance(written, Err):
@@ -109,22 +109,22 @@
         return load_state(self._store, head)
 
     def commit(self, records: Sequence[Record]) -> Result[None, Failure]:
-        """Make records durable; a conflict means the shard is lost."""
+        """Write records durably; a CONFLICT means that the shard is lost."""
         head = self._owned_head()
-        following = msgspec.structs.replace(
+        extended = msgspec.structs.replace(
             head,
             commit=unique(),
             sequence=head.sequence + len(records),
             tail=[*head.tail, *records],
         )
-        sealed = self._sealed(following)
+        sealed = self._move_tail(extended)
         if isinstance(sealed, Err):
             return sealed
         return self._write_head(sealed.ok_value, self._version)
 
     def confirm(self) -> Result[None, Failure]:
-        """Prove by a read that no other owner has taken the shard."""
-        asked = clock.uptime()
+        """Check by a read that no other owner has taken the shard over."""
+        started = clock.uptime()
         found = self._read_head()
         if isinstance(found, Err):
             return found
@@ -135,21 +135,21 @@
             peer = f'{head.owner} at {head.address}' if head else 'nobody'
             failure = Failure(FailureKind.CONFLICT, 'confirm', peer, 'fenced')
             return Err(failure)
-        self._confirmed_at = max(self._confirmed_at, asked)
+        self._confirmed_at = max(self._confirmed_at, started)
         return Ok(None)
 
     def needs_snapshot(self) -> bool:
-        """Tell whether enough segments have gathered to fold them."""
+        """Return whether there are enough segments for a snapshot."""
         return len(self._owned_head().segments) >= self._settings.segments
 
     def fold(self, state: ShardState) -> Result[None, Failure]:
-        """Replace all records by a snapshot of the state they led to."""
+        """Replace all records by a snapshot of the state they produced."""
         head = self._owned_head()
         snapshot = _codec.encode(state.snapshot())
         parts = write_parts(self._store, self._shard, _codec.compress(snapshot))
         if isinstance(parts, Err):
             return parts
-        folded = msgspec.structs.replace(
+        compacted = msgspec.structs.replace(
             head,
             commit=unique(),
             tail=[],
@@ -159,21 +159,23 @@
                 records=head.sequence,
             ),
         )
-        written = self._write_head(folded, self._version)
+        written = self._write_head(compacted, self._version)
         if isinstance(written, Ok):
-            # Commits go on meanwhile: it takes a call or two for each object.
-            gevent.spawn(self._delete, _replaced(head))
+            # In the background, as each object takes one or two calls.
+            gevent.spawn(self._delete, _replaced_keys(head))
         return written
 
     def _owned_head(self) -> Head:
         if self._head is None:
-            raise RuntimeError(f'shard {self._shard} was not taken over')
+            raise RuntimeError(
+                f'shard {self._shard} has no head: call take_over() first'
+            )
         return self._head
 
     def _read_head(self) -> Result[Entry | None, Failure]:
         return self._store.fetch(head_key(self._shard))
 
-    def _claimed(self, entry: Entry | None) -> Head:
+    def _next_epoch_head(self, entry: Entry | None) -> Head:
         claim = {
             'owner': self._owner.node,
             'address': self._owner.address,
@@ -202,63 +204,66 @@
         head: Head,
         expected: Version,
     ) -> Result[None, Failure]:
-        # The same bytes go out until the outcome is known, so a write that
-        # lands late is either this commit or is refused by its version.
+        # Every retry sends the same bytes, so a write that arrives late is
+        # either this commit or fails on its expected version.
         body = _codec.encode(head)
-        backoff = FIRST_BACKOFF
+        backoff = MIN_BACKOFF_SECONDS
         uncertain = False
         while True:
-            asked = clock.uptime()
+            started = clock.uptime()
             written = self._store.put(head_key(self._shard), body, expected)
             if isinstance(written, Ok):
-                self._confirmed_at = asked
-                return self._adopt(head, written.ok_value)
+                self._confirmed_at = started
+                return self._set_head(head, written.ok_value)
             if written.err_value.kind is FailureKind.CONFLICT:
-                settled = self._settle(head, uncertain=uncertain)
-                if settled is not None:
-                    return settled
+                outcome = self._resolve_conflict(head, uncertain=uncertain)
+                if outcome is not None:
+                    return outcome
             if written.err_value.kind is FailureKind.UNKNOWN:
                 uncertain = True
             gevent.sleep(
                 written.err_value.retry_after + backoff * random.random(),
             )
-            backoff = min(LAST_BACKOFF, backoff * 2)
+            backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
-    def _settle(
+    def _resolve_conflict(
         self,
         head: Head,
         *,
         uncertain: bool,
     ) -> Result[None, Failure] | None:
-        """Look for our own commit id; nothing where the store is away."""
+        """Read the head to find out whether it holds this commit.
+
+        Returns None if the head could not be read.
+        """
         found = self._read_head()
         if isinstance(found, Err) or found.ok_value is None:
             return None
         entry = found.ok_value
-        present = _codec.decode(entry.body, Head, entry.key)
-        if present.commit == head.commit:
-            return self._adopt(head, entry.version)
+        current = _codec.decode(entry.body, Head, entry.key)
+        if current.commit == head.commit:
+            return self._set_head(head, entry.version)
         self._fenced = True
-        if present.fenced == head.commit:
+        if current.fenced == head.commit:
             return Ok(None)
         kind = FailureKind.UNKNOWN if uncertain else FailureKind.CONFLICT
-        peer = f'{present.owner} at {present.address}'
-        detail = f'epoch {present.epoch} is above {head.epoch}'
+        peer = f'{current.owner} at {current.address}'
+        detail = f'epoch {current.epoch} is above {head.epoch}'
         return Err(Failure(kind, 'commit', peer, detail))
 
-    def _adopt(self, head: Head, version: Version) -> Result[None, Failure]:
+    def _set_head(self, head: Head, version: Version) -> Result[None, Failure]:
         self._head = head
         self._version = version
         return Ok(None)
 
-    def _sealed(self, head: Head) -> Result[Head, Failure]:
-        """Move a long tail into segments, each small enough for a value."""
+    def _move_tail(self, head: Head) -> Result[Head, Failure]:
+        """Move a tail above the size limit into segments."""
         sizes = [len(msgspec.json.encode(record)) for record in head.tail]
         if sum(sizes) < self._settings.tail_bytes:
             return Ok(head)
         first = head.sequence - len(head.tail)
         segments = list(head.segments)
-        for count in _runs_of(sizes):
+        for count in _segment_lengths(sizes):
             start = first - head.sequence + len(head.tail)
             records = head.tail[start : start + count]
             written = self._write_segment(records, first)
@@ -279,33 +284,33 @@
         self._versions[key] = written.ok_value
         return Ok(SegmentRef(key=key, first=first, count=len(records)))
 
-    def _delete(self, replaced: Sequence[str]) -> None:
-        """Delete objects to which no head refers any more."""
-        for key in replaced:
-            known = self._versions.pop(key, ABSENT)
-            version = known or _read_version(self._store, key)
+    def _delete(self, keys: Sequence[str]) -> None:
+        """Delete objects to which the head no longer refers."""
+        for key in keys:
+            written_version = self._versions.pop(key, ABSENT)
+            version = written_version or _read_version(self._store, key)
             if version:
                 self._store.delete(key, version)
 
 
 def _read_version(store: ValueStore, key: str) -> Version:
-    """Read the version of a key; none if that can't be had."""
+    """Return the version of a key; ABSENT if it could not be read."""
     found = store.fetch(key)
     if isinstance(found, Err) or found.ok_value is None:
         return ABSENT
     return found.ok_value.version
 
 
-def _replaced(head: Head) -> list[str]:
-    """Name the objects that a snapshot replaces."""
+def _replaced_keys(head: Head) -> list[str]:
+    """Return the keys of the objects that a snapshot replaces."""
     keys = [segment.key for segment in head.segments]
     if head.snapshot:
         keys.extend(head.snapshot.parts)
     return keys
 
 
-def _runs_of(sizes: Sequence[int]) -> Iterator[int]:
-    """Cut records into runs that fit a value each; yield their lengths."""
+def _segment_lengths(sizes: Sequence[int]) -> Iterator[int]:
+    """Yield how many of the extended records fit each segment."""
     count = 0
     total = 0
     for size in sizes:
@@ -319,12 +324,12 @@
 
 
 def head_key(shard: ShardId) -> str:
-    """Name the head object of a shard."""
+    """Return the key of the head object of a shard."""
     return f'ledger/{shard:04x}/head'
 
 
 def read_holder(store: ValueStore, shard: ShardId) -> Result[str, Failure]:
-    """Name the node that took a shard last; nothing if nobody has."""
+    """Return the name of a shard's last owner; empty if it had none."""
     found = store.fetch(head_key(shard))
     if isinstance(found, Err):
         return found
@@ -335,7 +340,7 @@
 
 
 def load_state(store: ValueStore, head: Head) -> Result[ShardState, Failure]:
-    """Rebuild the state that a head refers to."""
+    """Return the state from the snapshot and the records of a head."""
     state = ShardState()
     if head.snapshot:
         body = read_parts(store, head.snapshot.parts)
@@ -348,8 +353,8 @@
     for read in read_each(store, keys):
         if isinstance(read, Err):
             return read
-        state.replay(_SEGMENT.decode(_codec.decompress(read.ok_value)))
-        # Decoding one segment takes about a millisecond.
+        state.replay(_SEGMENT_DECODER.decode(_codec.decompress(read.ok_value)))
+        # Decoding a segment blocks the event loop; let other tasks run.
         gevent.sleep(0)
     state.replay(head.tail)
     return Ok(state)
--- a/packages/bendlead-ledger/src/bendlead_ledger/_objects.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_objects.py
@@ -1,4 +1,4 @@
-"""The immutable objects of a shard: written once, read side by side."""
+"""Immutable objects of a shard: written once, read concurrently."""
 
 import random
 from collections.abc import Iterator, Sequence
@@ -11,14 +11,13 @@
 
 from bendlead_ledger._ids import ShardId, unique
 
-#: Bytes of one object: a value holds a megabyte, and base64 takes a third.
+#: Largest object: the service limits base64-encoded values to 1 MiB.
 _PART_BYTES = 700_000
-FIRST_BACKOFF = 0.05
-#: Longest pause between tries (s): what waits is refused until one is through.
-LAST_BACKOFF = 0.4
-#: Objects read side by side at a takeover: one is a way to another data hall,
-#: and a process keeps this many connections to the object service.
-_READS_AT_ONCE = 4
+MIN_BACKOFF_SECONDS = 0.05
+#: Low, as requests are refused until a write succeeds.
+MAX_BACKOFF_SECONDS = 0.4
+#: Concurrent reads, limited by the connections to the object service.
+_MAX_CONCURRENT_READS = 4
 
 
 def write_once(
@@ -26,22 +25,23 @@
     key: str,
     body: bytes,
 ) -> Result[Version, Failure]:
-    """Write an immutable object under a unique name until it is there.
+    """Write an immutable object under a unique key; retry until it exists.
 
-    Its version is not known where an answer was lost.
+    Returns ABSENT as its version if the response to an earlier try was lost.
+    A refused write is not retried.
     """
-    backoff = FIRST_BACKOFF
+    backoff = MIN_BACKOFF_SECONDS
     while True:
         written = store.put(key, body, ABSENT)
         if isinstance(written, Ok):
             return written
         if written.err_value.kind is FailureKind.CONFLICT:
-            # The name is unique: what is there is our own earlier attempt.
+            # The key is unique, so an earlier try has written the object.
             return Ok(ABSENT)
         if written.err_value.kind is FailureKind.REFUSED:
             return written
         gevent.sleep(written.err_value.retry_after + backoff * random.random())
-        backoff = min(LAST_BACKOFF, backoff * 2)
+        backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
 
 def write_parts(
@@ -49,7 +49,7 @@
     shard: ShardId,
     packed: bytes,
 ) -> Result[list[str], Failure]:
-    """Write bulk bytes into immutable objects and name them."""
+    """Split bytes into immutable objects; return their keys in order."""
     parts = []
     for start in range(0, len(packed), _PART_BYTES):
         key = f'ledger/{shard:04x}/part/{unique()}'
@@ -64,7 +64,7 @@
 def read_parts(
     store: ValueStore, keys: Sequence[str]
 ) -> Result[bytes, Failure]:
-    """Read bulk bytes back from the objects that hold them."""
+    """Return the concatenated bytes of the given objects."""
     bodies = []
     for read in read_each(store, keys):
         if isinstance(read, Err):
@@ -76,8 +76,8 @@
 def read_each(
     store: ValueStore, keys: Sequence[str]
 ) -> Iterator[Result[bytes, Failure]]:
-    """Read objects side by side; yield them in the order of their keys."""
-    yield from Pool(_READS_AT_ONCE).imap(partial(_read_one, store), keys)
+    """Read objects concurrently; yield them in the order of the keys."""
+    yield from Pool(_MAX_CONCURRENT_READS).imap(partial(_read_one, store), keys)
 
 
 def _read_one(store: ValueStore, key: str) -> Result[bytes, Failure]:
--- a/packages/bendlead-ledger/src/bendlead_ledger/_requests.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_requests.py
@@ -1,4 +1,4 @@
-"""Answer the commands that concern recorded online requests."""
+"""Commands on recorded online requests."""
 
 import time
 
@@ -28,23 +28,23 @@
 
 
 class RequestCommands:
-    """Own the recorded requests of one shard."""
+    """Handler of commands on the recorded requests of one shard."""
 
     def __init__(self, state: ShardState, committer: Committer) -> None:
         self._state = state
         self._committer = committer
 
     def accept(self, command: AcceptRequest) -> Reply:
-        """Record a request once; only the first caller may run it."""
+        """Record a request once; only the caller that created it may run it."""
         if command.request not in self._state.requests:
-            record = _accepted(command)
+            record = _request_accepted(command)
             done = self._committer.commit([record], _COMMIT_SECONDS)
             if isinstance(done, Err):
                 return refusal(done.err_value)
         return self._view(command.request, command.team, command.nonce)
 
     def complete(self, command: CompleteRequest) -> Reply:
-        """Record the one result of a request; show what is recorded."""
+        """Record the result of a request; return the one that is recorded."""
         record = RequestCompleted(
             request=command.request,
             status=command.status,
@@ -55,10 +55,12 @@
         if isinstance(done, Err):
             return refusal(done.err_value)
         request = self._state.requests.get(command.request)
-        return _shown(request, created=False) if request else Acknowledged()
+        return (
+            _request_view(request, created=False) if request else Acknowledged()
+        )
 
     def refuse(self, command: RefuseRequest) -> Reply:
-        """Release the key of a request that is proved not to have run."""
+        """Release the key of a request that certainly has not run."""
         record = RequestRefused(request=command.request)
         done = self._committer.commit([record], _COMMIT_SECONDS)
         if isinstance(done, Err):
@@ -66,7 +68,7 @@
         return Acknowledged()
 
     def find(self, command: FindRequest) -> Reply:
-        """Show a recorded request."""
+        """Return a recorded request."""
         return self._view(command.request, command.team)
 
     def _view(self, request_id: str, team: str, nonce: str = '') -> Reply:
@@ -76,11 +78,11 @@
                 code='not_found',
                 message=f'no recorded request {request_id}',
             )
-        # The nonce settles a lost reply: a resend is still told it created it.
-        return _shown(request, created=request.accepted.nonce == nonce)
+        # A resend after a lost reply has the same nonce and counts as creator.
+        return _request_view(request, created=request.accepted.nonce == nonce)
 
 
-def _shown(request: RequestState, *, created: bool) -> RequestView:
+def _request_view(request: RequestState, *, created: bool) -> RequestView:
     phase = RequestPhase.completed if request.status else RequestPhase.accepted
     accepted = request.accepted
     return RequestView(
@@ -96,7 +98,7 @@
     )
 
 
-def _accepted(command: AcceptRequest) -> RequestAccepted:
+def _request_accepted(command: AcceptRequest) -> RequestAccepted:
     return RequestAccepted(
         request=command.request,
         team=command.team,
--- a/packages/bendlead-ledger/src/bendlead_ledger/_results.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_results.py
@@ -1,4 +1,4 @@
-"""Pack results of many items into one object before they are committed."""
+"""Results of many items, packed into one object and committed together."""
 
 import time
 from collections import defaultdict
@@ -16,12 +16,12 @@
 from bendlead_ledger._ids import ShardId, unique
 from bendlead_ledger._objects import write_once
 
-_FAILED_STATUS = 400
-_PACK_BYTES = 4_000_000
+_MIN_FAILED_STATUS = 400
+_MAX_PACK_BYTES = 4_000_000
 
 
 class ResultPacker:
-    """Spend two store writes on hundreds of results."""
+    """Writer that stores hundreds of results with two writes."""
 
     def __init__(
         self,
@@ -34,61 +34,64 @@
         self._shard = shard
         self._committer = committer
         self._settings = settings
-        self._hurry: Callable[[Sequence[ResultLine]], bool] = bool
+        self._flush_condition: Callable[[Sequence[ResultLine]], bool] = bool
         self._lines: list[ResultLine] = []
         self._bytes = 0
         self._done: AsyncResult = AsyncResult()
         self._writing: AsyncResult | None = None
         self._closed = False
-        self._full = Event()
-        self._arrived = Event()
+        self._flush_now = Event()
+        self._has_lines = Event()
         self._task = gevent.spawn(self._run)
 
     def record(self, lines: Sequence[ResultLine]) -> Result[None, Failure]:
-        """Make results durable together with those of other runs."""
+        """Write results durably, together with those of other runs."""
         if self._closed:
-            return _closed(FailureKind.CONFLICT)
+            return _closed_failure(FailureKind.CONFLICT)
         done = self._done
         self._lines.extend(lines)
         self._bytes += sum(len(line.body) for line in lines)
-        self._arrived.set()
-        if self._is_full() or self._hurry(self._lines):
-            self._full.set()
+        self._has_lines.set()
+        if self._is_full() or self._flush_condition(self._lines):
+            self._flush_now.set()
         return done.get()
 
-    def hurry_when(self, hurry: Callable[[Sequence[ResultLine]], bool]) -> None:
-        """Commit at once when this says that nothing else is coming."""
-        self._hurry = hurry
+    def flush_when(
+        self, condition: Callable[[Sequence[ResultLine]], bool]
+    ) -> None:
+        """Set the condition under which queued results are written at once."""
+        self._flush_condition = condition
 
     def close(self) -> None:
-        """Stop packing and answer whoever waits.
+        """Stop and fail every waiting call.
 
-        A pack that is being written may take effect: its outcome is unknown.
+        Queued results fail as CONFLICT. The outcome of the pack that is being
+        written is unknown.
         """
         self._closed = True
         self._task.kill()
         if self._writing is not None:
-            self._writing.set(_closed(FailureKind.UNKNOWN))
-        self._done.set(_closed(FailureKind.CONFLICT))
+            self._writing.set(_closed_failure(FailureKind.UNKNOWN))
+        self._done.set(_closed_failure(FailureKind.CONFLICT))
 
     def _is_full(self) -> bool:
         return (
             len(self._lines) >= self._settings.pack_items
-            or self._bytes >= _PACK_BYTES
+            or self._bytes >= _MAX_PACK_BYTES
         )
 
     def _run(self) -> None:
         while True:
-            self._arrived.wait()
-            self._full.wait(timeout=self._settings.flush)
+            self._has_lines.wait()
+            self._flush_now.wait(timeout=self._settings.flush)
             self._flush()
 
     def _flush(self) -> None:
         lines, self._lines = self._lines, []
         done, self._done = self._done, AsyncResult()
         self._bytes = 0
-        self._arrived.clear()
-        self._full.clear()
+        self._has_lines.clear()
+        self._flush_now.clear()
         self._writing = done
         done.set(self._write(lines))
         self._writing = None
@@ -103,11 +106,13 @@
         written = write_once(self._store, key, body)
         if isinstance(written, Err):
             return written
-        committed = self._committer.commit(_records(key, lines))
-        return committed.map(_nothing)
+        committed = self._committer.commit(_results_records(key, lines))
+        return committed.map(_ignore_effects)
 
 
-def _records(key: str, lines: Sequence[ResultLine]) -> list[ResultsRecorded]:
+def _results_records(
+    key: str, lines: Sequence[ResultLine]
+) -> list[ResultsRecorded]:
     by_job = defaultdict(list)
     for line in lines:
         by_job[line.job].append(line)
@@ -116,21 +121,21 @@
         ResultsRecorded(
             job=job,
             pack=key,
-            positions=[line.position for line in of_job],
+            positions=[line.position for line in job_lines],
             failed=[
                 line.position
-                for line in of_job
-                if line.status >= _FAILED_STATUS
+                for line in job_lines
+                if line.status >= _MIN_FAILED_STATUS
             ],
             at=now,
         )
-        for job, of_job in by_job.items()
+        for job, job_lines in by_job.items()
     ]
 
 
-def _closed(kind: FailureKind) -> Err[Failure]:
+def _closed_failure(kind: FailureKind) -> Err[Failure]:
     return Err(Failure(kind, 'pack results', 'object service', 'closed', 1))
 
 
-def _nothing(_effects: Sequence[bool]) -> None:
-    """Drop the effects: a result that lost to an earlier one is settled."""
+def _ignore_effects(_effects: Sequence[bool]) -> None:
+    """Ignore the effects: it is no error if an item had a result before."""
--- a/packages/bendlead-ledger/src/bendlead_ledger/_runs.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_runs.py
@@ -1,7 +1,7 @@
-"""Leases of runs: which items are being run, by whom, until when.
+"""Leases of runs: which endpoint runs which items, and until when.
 
-Nothing here is durable. A new owner learns of runs in progress when their
-endpoints renew them; an item run twice is recorded once.
+Leases are kept in memory only. A new owner learns of runs in progress when
+their endpoints renew them; an item that runs twice is recorded once.
 """
 
 from collections.abc import Iterable, Sequence
@@ -14,7 +14,7 @@
 
 
 class Run(Struct):
-    """Remember which items an endpoint holds until a monotonic time."""
+    """Lease of some items of a job; ``expires`` is by ``clock.uptime``."""
 
     run: str
     job: str
@@ -24,57 +24,57 @@
 
 
 class RunTable:
-    """Keep each item with at most one endpoint at a time."""
+    """Leases of a shard; an item is leased to at most one endpoint."""
 
     def __init__(self, lease_seconds: float) -> None:
-        self._lease = lease_seconds
+        self._lease_seconds = lease_seconds
         self._runs: dict[str, Run] = {}
-        self._held: dict[str, set[int]] = {}
+        self._leased: dict[str, set[int]] = {}
 
-    def held(self, job: str) -> set[int]:
-        """Tell which items of a job are out."""
-        return self._held.setdefault(job, set())
+    def leased(self, job: str) -> set[int]:
+        """Return the leased items of a job."""
+        return self._leased.setdefault(job, set())
 
     def grant(self, job: str, endpoint: str, positions: Sequence[int]) -> Run:
-        """Lease items to an endpoint."""
+        """Lease items to an endpoint under a new run id."""
         return self._add(unique(), job, endpoint, positions)
 
     def renew(self, endpoint: str, leases: Iterable[RunLease]) -> None:
-        """Renew runs, and adopt those granted by an earlier owner."""
+        """Renew runs and add those that an earlier owner granted."""
         for lease in leases:
             run = self._runs.get(lease.run)
             if run is None:
-                free = set(lease.positions) - self.held(lease.job)
+                free = set(lease.positions) - self.leased(lease.job)
                 self._add(lease.run, lease.job, endpoint, free)
             else:
-                run.expires = clock.uptime() + self._lease
+                run.expires = clock.uptime() + self._lease_seconds
 
     def release(self, run_id: str, positions: Iterable[int]) -> None:
-        """Take items back from a run."""
+        """Release items of a run."""
         run = self._runs.get(run_id)
         if run is None:
             return
-        freed = run.positions.intersection(positions)
-        run.positions -= freed
-        self.held(run.job).difference_update(freed)
+        released = run.positions.intersection(positions)
+        run.positions -= released
+        self.leased(run.job).difference_update(released)
         if not run.positions:
             self._runs.pop(run_id)
 
     def drop_job(self, job: str) -> None:
-        """Forget the runs of a job."""
-        self._held.pop(job, None)
+        """Remove all runs of a job."""
+        self._leased.pop(job, None)
         for run in list(self._runs.values()):
             if run.job == job:
                 self._runs.pop(run.run)
 
     def expired(self) -> list[Run]:
-        """Take back the runs whose lease lapsed."""
+        """Remove and return the runs whose lease has expired."""
         now = clock.uptime()
-        lapsed = [run for run in self._runs.values() if run.expires < now]
-        for run in lapsed:
+        expired_runs = [run for run in self._runs.values() if run.expires < now]
+        for run in expired_runs:
             self._runs.pop(run.run)
-            self.held(run.job).difference_update(run.positions)
-        return lapsed
+            self.leased(run.job).difference_update(run.positions)
+        return expired_runs
 
     def _add(
         self,
@@ -83,8 +83,8 @@
         endpoint: str,
         positions: Iterable[int],
     ) -> Run:
-        expires = clock.uptime() + self._lease
+        expires = clock.uptime() + self._lease_seconds
         run = Run(run_id, job, endpoint, set(positions), expires)
         self._runs[run_id] = run
-        self.held(job).update(run.positions)
+        self.leased(job).update(run.positions)
         return run
--- a/packages/bendlead-ledger/src/bendlead_ledger/_shard.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_shard.py
@@ -1,4 +1,4 @@
-"""One owned shard: its log, its state and the commands it answers."""
+"""An owned shard: its log, its state and its commands."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -34,11 +34,11 @@
 from bendlead_ledger._results import ResultPacker
 from bendlead_ledger._state import ShardState
 
-_EXPIRY_SECONDS = 0.5
+_EXPIRY_INTERVAL_SECONDS = 0.5
 
 
 class Shard:
-    """Answer commands for one shard while this process owns it."""
+    """Handler of commands for a shard that this process owns."""
 
     def __init__(
         self,
@@ -52,39 +52,39 @@
         self._state = state
         self._jobs = jobs
         self._close = close
-        self._answers = _answers(jobs, requests)
+        self._handlers = _handlers(jobs, requests)
         self._expiry = gevent.spawn(self._expire)
 
     @property
     def epoch(self) -> int:
-        """Tell the epoch of this ownership."""
+        """Epoch at which this process owns the shard."""
         return self._log.epoch
 
     @property
     def state(self) -> ShardState:
-        """Show the durable state."""
+        """State of the jobs and requests of the shard."""
         return self._state
 
     def summary(self) -> list[str]:
-        """Show the active jobs, for the state dump."""
+        """Return one line for each active job, for the state dump."""
         return self._jobs.summary()
 
     def answer(self, command: Command) -> Reply:
-        """Answer one command once its effect is durable."""
-        return self._answers[type(command)](command)
+        """Execute a command; return its reply once the effect is durable."""
+        return self._handlers[type(command)](command)
 
     def close(self) -> None:
-        """Stop answering and committing."""
+        """Stop expiring leases and committing."""
         self._expiry.kill()
         self._close()
 
     def _expire(self) -> None:
         while True:
-            gevent.sleep(_EXPIRY_SECONDS)
+            gevent.sleep(_EXPIRY_INTERVAL_SECONDS)
             self._jobs.expire()
 
 
-def _unpaced() -> float:
+def _no_interval() -> float:
     return 0
 
 
@@ -96,9 +96,12 @@
     reader: ChunkReader,
     order: GrantOrder,
     on_lost: Callable[[ShardId], None],
-    interval: Callable[[], float] = _unpaced,
+    interval: Callable[[], float] = _no_interval,
 ) -> Result[Shard, Failure]:
-    """Take a shard over from whoever owned it."""
+    """Take a shard over from its previous owner.
+
+    ``interval`` returns the least time between commits in seconds.
+    """
     log = ShardLog(store, shard, owner, settings)
     taken = log.take_over()
     if isinstance(taken, Err):
@@ -121,7 +124,7 @@
         settings,
         order,
     )
-    packer.hurry_when(jobs.hurries)
+    packer.flush_when(jobs.covers_leased_items)
 
     def close() -> None:  # noqa: WPS430
         packer.close()
@@ -131,7 +134,7 @@
     return Ok(Shard(log, state, jobs, requests, close))
 
 
-def _answers(
+def _handlers(
     jobs: JobCommands,
     requests: RequestCommands,
 ) -> Mapping[type, Callable[[Any], Reply]]:
--- a/packages/bendlead-ledger/src/bendlead_ledger/_state.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_state.py
@@ -1,8 +1,8 @@
-"""What a shard knows, rebuilt from its records in log order.
+"""State of a shard, rebuilt by applying its records in log order.
 
-The rules that make a result final stand here and nowhere else: the first
-result of an item wins, nothing is recorded after a cancel, and a request is
-recorded once. Replay therefore decides exactly as the first run did.
+Only this module decides which records take effect: the first result of an item
+wins, nothing is recorded after a cancel, and a request is recorded once. A
+replay therefore gives the same state as the original run.
 """
 
 import base64
@@ -36,7 +36,7 @@
 
 
 class ItemStatus(enum.IntEnum):
-    """Say where one item of a job is."""
+    """Status of one item of a job; the values are stored."""
 
     WAITING = 0
     SUCCEEDED = 1
@@ -44,7 +44,7 @@
 
 
 class JobState(Struct):
-    """Keep one byte for each item, so that a large job stays small."""
+    """State of one batch job, with one status byte for each item."""
 
     accepted: JobAccepted
     status: bytearray
@@ -55,8 +55,8 @@
     remaining: int = 0
 
     @classmethod
-    def fresh(cls, accepted: JobAccepted) -> 'JobState':
-        """Start a job with its unreadable lines already failed."""
+    def create(cls, accepted: JobAccepted) -> 'JobState':
+        """Return the state of a new job; its rejected lines count as failed."""
         status = bytearray(accepted.item_count)
         for position in accepted.rejected:
             status[position] = ItemStatus.FAILED
@@ -68,35 +68,38 @@
 
     @property
     def active(self) -> bool:
-        """Tell whether items of the job may still be run."""
+        """Whether items of the job may still be run."""
         return not (self.finished_at or self.cancelled_at)
 
     def waits(self, position: int) -> bool:
-        """Tell whether an item has no result yet."""
+        """Return whether an item has no result yet."""
         return self.status[position] == ItemStatus.WAITING
 
     def record(self, recorded: ResultsRecorded) -> bool:
-        """Take the first result of each item; later ones change nothing."""
-        # A pack may hold an item twice, when its report was sent again.
-        fresh = list(dict.fromkeys(filter(self.waits, recorded.positions)))
-        if not fresh:
+        """Record the first result of each item; ignore later ones.
+
+        Returns whether the state changed.
+        """
+        # A pack may contain an item twice if its report was resent.
+        new = list(dict.fromkeys(filter(self.waits, recorded.positions)))
+        if not new:
             return False
         failed = frozenset(recorded.failed)
-        for position in fresh:
+        for position in new:
             status = ItemStatus.SUCCEEDED
             if position in failed:
                 status = ItemStatus.FAILED
             self.status[position] = status
             self.attempts.pop(position, None)
-        self.packs.append(PackRef(key=recorded.pack, positions=fresh))
-        self.remaining -= len(fresh)
+        self.packs.append(PackRef(key=recorded.pack, positions=new))
+        self.remaining -= len(new)
         if not self.remaining:
             self.finished_at = recorded.at
         return True
 
 
 class RequestState(Struct):
-    """Keep one recorded online request."""
+    """State of one recorded online request."""
 
     accepted: RequestAccepted
     status: int = 0
@@ -105,7 +108,10 @@
 
 
 class ShardState:
-    """Fold records into the jobs and requests of one shard."""
+    """Jobs and requests of one shard.
+
+    Methods that apply a record return whether it changed the state.
+    """
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobState] = {}
@@ -113,11 +119,11 @@
         self.direct: dict[str, DirectJobState] = {}
 
     def apply(self, record: Record) -> bool:
-        """Apply one record; tell whether it changed anything."""
+        """Apply one record; return whether it changed the state."""
         return _APPLY[type(record)](self, record)
 
     def replay(self, records: Iterable[Record]) -> int:
-        """Apply records in log order and count them."""
+        """Apply records in log order; return their number."""
         count = 0
         for record in records:
             self.apply(record)
@@ -125,7 +131,7 @@
         return count
 
     def snapshot(self) -> Snapshot:
-        """Write down the whole state."""
+        """Return the complete state as a snapshot record."""
         return Snapshot(
             format=FORMAT,
             jobs=[_job_snapshot(job) for job in self.jobs.values()],
@@ -141,7 +147,7 @@
         )
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Take over the state that a snapshot holds."""
+        """Load the state of a snapshot."""
         for job in snapshot.jobs:
             self.jobs[job.accepted.job] = _restored_job(job)
         for request in snapshot.requests:
@@ -158,18 +164,18 @@
         """Accept a job once."""
         if record.job in self.jobs:
             return False
-        self.jobs[record.job] = JobState.fresh(record)
+        self.jobs[record.job] = JobState.create(record)
         return True
 
     def record_results(self, record: ResultsRecorded) -> bool:
-        """Record results unless the job is cancelled or gone."""
+        """Record results unless the job is cancelled or removed."""
         job = self.jobs.get(record.job)
         if job is None or job.cancelled_at:
             return False
         return job.record(record)
 
     def count_attempts(self, record: AttemptFailed) -> bool:
-        """Count failed attempts of items that still wait."""
+        """Count failed attempts of items without result."""
         job = self.jobs.get(record.job)
         if job is None or not job.active:
             return False
@@ -178,7 +184,7 @@
         return True
 
     def cancel_job(self, record: JobCancelled) -> bool:
-        """Cancel a job that still runs."""
+        """Cancel an active job."""
         job = self.jobs.get(record.job)
         if job is None or not job.active:
             return False
@@ -187,7 +193,7 @@
         return True
 
     def remove_job(self, record: JobRemoved) -> bool:
-        """Forget a job."""
+        """Remove a job."""
         direct = self.direct.pop(record.job, None)
         return self.jobs.pop(record.job, direct) is not None
 
@@ -199,7 +205,7 @@
         return True
 
     def record_direct(self, record: DirectResultsRecorded) -> bool:
-        """Append first results of items and keep progress of the others."""
+        """Record results, failures and progress of a direct job's items."""
         job = self.direct.get(record.job)
         if job is None:
             return False
@@ -230,7 +236,7 @@
         return True
 
     def refuse_request(self, record: RequestRefused) -> bool:
-        """Release the key of a request that did not run."""
+        """Remove a request without result; its key can then be used again."""
         request = self.requests.get(record.request)
         if request is None or request.status:
             return False
@@ -262,8 +268,8 @@
     )
 
 
-_Rule = Callable[[ShardState, Any], bool]
-_APPLY: Final[Mapping[type, _Rule]] = MappingProxyType(
+_Apply = Callable[[ShardState, Any], bool]
+_APPLY: Final[Mapping[type, _Apply]] = MappingProxyType(
     {
         JobAccepted: ShardState.accept_job,
         ResultsRecorded: ShardState.record_results,
--- a/tests/test_ledger_results.py
+++ b/tests/test_ledger_results.py
@@ -1,4 +1,4 @@
-"""Results that are packed together, and what becomes of them at an end."""
+"""Packed results when the packer is closed."""
 
 import unittest
 from unittest import mock
@@ -12,17 +12,17 @@
 
 
 class CloseTest(unittest.TestCase):
-    """A packer is closed where its shard goes to another owner."""
+    """Closing a packer must fail every waiting call."""
 
     @parameterized.expand(
         [
-            ('gathering', False, FailureKind.CONFLICT),
+            ('queued', False, FailureKind.CONFLICT),
             ('being_written', True, FailureKind.UNKNOWN),
         ]
     )
-    def test_waiting_results_are_answered(self, _name, written, kind):
-        """Whoever reports a result must not wait for ever."""
-        packer = self._packer(written)
+    def test_waiting_calls_fail(self, _name, flush, kind):
+        """Calls fail whether their pack is queued or being written."""
+        packer = self._packer(flush)
         reports = [gevent.spawn(packer.record, [_line(at)]) for at in range(2)]
         gevent.sleep(0.2)
         packer.close()
@@ -30,8 +30,8 @@
         for report in reports:
             self.assertEqual(kind, report.get(block=False).err_value.kind)
 
-    def test_nothing_is_taken_afterwards(self):
-        packer = self._packer(written=True)
+    def test_results_after_close_are_rejected(self):
+        packer = self._packer(flush=True)
         packer.close()
         late = gevent.spawn(packer.record, [_line(0)])
         late.join(1)
@@ -39,13 +39,13 @@
             FailureKind.CONFLICT, late.get(block=False).err_value.kind
         )
 
-    def _packer(self, written):
+    def _packer(self, flush):
         store = mock.Mock()
         # The object service does not answer.
         store.put.side_effect = lambda *_given: gevent.sleep(10)
         settings = LedgerSettings(flush=5)
         packer = ResultPacker(store, 1, mock.Mock(), settings)
-        packer.hurry_when(lambda _lines: written)
+        packer.flush_when(lambda _lines: flush)
         return packer
 
 
