--- a/tests/bounded_store.py
+++ b/tests/bounded_store.py
@@ -1,15 +1,15 @@
-"""A store in memory that holds values to their largest size."""
+"""Object store in memory that enforces the size limit of values."""
 
 import base64
 
 from bendlead_store import ABSENT, Entry, Failure, FailureKind, Version
 from result import Err, Ok
 
-_VALUE_BYTES = 1_048_576
+_MAX_VALUE_BYTES = 1_048_576
 
 
 class BoundedStore:
-    """Keep values in memory and refuse those that are too large."""
+    """Store in memory that refuses values which are too large."""
 
     def __init__(self) -> None:
         self._entries: dict[str, Entry] = {}
@@ -18,11 +18,11 @@
 
     @property
     def keys(self):
-        """Give the keys that exist."""
+        """Keys that exist."""
         return set(self._entries)
 
-    def made(self, operation):
-        """List the keys of the calls of one kind."""
+    def calls_of(self, operation):
+        """Return the keys of all calls of one operation."""
         return [key for name, key in self.calls if name == operation]
 
     def fetch(self, key):
@@ -31,10 +31,10 @@
 
     def put(self, key, body, expected):
         self.calls.append(('put', key))
-        if len(base64.b64encode(body)) > _VALUE_BYTES:
+        if len(base64.b64encode(body)) > _MAX_VALUE_BYTES:
             return Err(Failure(FailureKind.REFUSED, 'put', key, 'too large'))
-        found = self._entries.get(key)
-        if (found.version if found else ABSENT) != expected:
+        current = self._entries.get(key)
+        if (current.version if current else ABSENT) != expected:
             return Err(Failure(FailureKind.CONFLICT, 'put', key))
         self._revision += 1
         version = Version(self._revision)
--- a/tests/test_ledger_committer.py
+++ b/tests/test_ledger_committer.py
@@ -1,4 +1,4 @@
-"""Group commit: what a failed snapshot costs."""
+"""Group commit: waiting commits and snapshots when writes fail."""
 
 import unittest
 from unittest import mock
@@ -12,9 +12,9 @@
 
 
 class CloseTest(unittest.TestCase):
-    """A committer that is closed while a write is under way."""
+    """Closing a committer during a write must fail every waiting commit."""
 
-    def test_nobody_waits_for_ever(self):
+    def test_waiting_commits_fail(self):
         log = mock.Mock(fenced=False)
         log.commit.side_effect = lambda _records: gevent.sleep(60)
         committer = Committer(log, mock.Mock(), lambda: 0, mock.Mock())
@@ -32,9 +32,9 @@
 
 
 class FaultTest(unittest.TestCase):
-    """A record that can't be written is a fault of ours."""
+    """An unexpected exception must fail the waiting commits."""
 
-    def test_nobody_waits_for_ever(self):
+    def test_waiting_commits_fail(self):
         log = mock.Mock(fenced=False)
         log.commit.side_effect = ValueError('scripted')
         lost = mock.Mock()
@@ -49,9 +49,9 @@
 
 
 class WriteTest(unittest.TestCase):
-    """How long writes take."""
+    """The duration of the latest write is reported."""
 
-    def test_the_latest_is_told(self):
+    def test_last_write_seconds(self):
         log = mock.Mock(fenced=False)
         log.needs_snapshot.return_value = False
 
@@ -68,7 +68,7 @@
 
 
 class SnapshotTest(unittest.TestCase):
-    """A log that asks for a snapshot and does not get it."""
+    """A failed snapshot loses the shard only if the log is fenced."""
 
     @parameterized.expand(
         [
@@ -94,6 +94,6 @@
             committer.commit([JobRemoved(job='j')])
         self.assertEqual(lost, committer.lost)
         self.assertEqual(lost, on_lost.called)
-        # Each try writes the whole state: not with each commit.
+        # As it writes the whole state, it is not retried at each commit.
         self.assertEqual(1, log.fold.call_count)
         self.assertEqual(None if lost else failure, committer.snapshot_failure)
--- a/tests/test_ledger_progress.py
+++ b/tests/test_ledger_progress.py
@@ -1,4 +1,4 @@
-"""How far the items of a direct job have come outlasts the owner."""
+"""Progress of direct job items survives a change of the shard's owner."""
 
 import unittest
 
@@ -28,35 +28,35 @@
 
 
 def progress(after: int, last_event: int, text: str, item: str = 'i1'):
-    """Make the record of some events of an item."""
-    one = DirectProgress(
+    """Return a record with some events of an item."""
+    update = DirectProgress(
         item=item, after=after, last_event=last_event, text=text, spent=1.5
     )
-    return DirectResultsRecorded(job='j1', results=[], progress=[one])
+    return DirectResultsRecorded(job='j1', results=[], progress=[update])
 
 
-def listed(item: str = 'i1'):
-    """Make the record of an item's result."""
-    one = DirectResult(item=item, completed=True, text='all')
-    return DirectResultsRecorded(job='j1', results=[one])
+def result_record(item: str = 'i1'):
+    """Return a record with the result of an item."""
+    result = DirectResult(item=item, completed=True, text='all')
+    return DirectResultsRecorded(job='j1', results=[result])
 
 
-def kept(state: ShardState) -> dict[str, tuple[int, str]]:
-    """Show the last event and the text of each item of the job."""
+def saved_progress(state: ShardState) -> dict[str, tuple[int, str]]:
+    """Return the last event and the text of each item in progress."""
     return {
-        item: (one.last_event, one.text)
-        for item, one in state.direct['j1'].kept.items()
+        item: (saved.last_event, saved.text)
+        for item, saved in state.direct['j1'].kept.items()
     }
 
 
 class RuleTest(unittest.TestCase):
-    """What counts of the progress that records hold."""
+    """Progress counts only if it follows the last saved event."""
 
     @parameterized.expand(
         [
             ('first', [progress(-1, 2, 'a\nb')], {'i1': (2, 'a\nb')}),
             (
-                'goes_on',
+                'continued',
                 [progress(-1, 2, 'a\nb'), progress(2, 3, 'c')],
                 {'i1': (3, 'a\nb\nc')},
             ),
@@ -71,18 +71,22 @@
                 {'i1': (2, 'a\nb')},
             ),
             (
-                'behind_a_gap',
+                'after_a_gap',
                 [progress(-1, 1, 'a'), progress(2, 3, 'c')],
                 {'i1': (1, 'a')},
             ),
             ('without_a_start', [progress(2, 3, 'c')], {}),
-            ('result_ends_it', [progress(-1, 1, 'a'), listed()], {}),
-            ('nothing_behind_a_result', [listed(), progress(-1, 1, 'a')], {}),
-            ('nothing_behind_the_end', [_ENDED, progress(-1, 1, 'a')], {}),
-            ('end_ends_it', [progress(-1, 1, 'a'), _ENDED], {}),
+            ('removed_by_result', [progress(-1, 1, 'a'), result_record()], {}),
+            (
+                'ignored_after_result',
+                [result_record(), progress(-1, 1, 'a')],
+                {},
+            ),
+            ('ignored_after_end', [_ENDED, progress(-1, 1, 'a')], {}),
+            ('removed_by_end', [progress(-1, 1, 'a'), _ENDED], {}),
             (
                 'of_another_item',
-                [progress(-1, 1, 'a'), listed('i2')],
+                [progress(-1, 1, 'a'), result_record('i2')],
                 {'i1': (1, 'a')},
             ),
         ],
@@ -90,48 +94,50 @@
     def test_records(self, _name, records, expected):
         state = ShardState()
         state.replay([_ACCEPTED, *records])
-        self.assertEqual(expected, kept(state))
+        self.assertEqual(expected, saved_progress(state))
 
-    def test_snapshot_keeps_it(self):
+    def test_snapshot_keeps_progress(self):
         state = ShardState()
         state.replay([_ACCEPTED, progress(-1, 1, 'a'), progress(1, 2, 'b')])
         restored = ShardState()
         body = encode(state.snapshot())
         restored.restore(decode(body, Snapshot, 'snapshot'))
-        self.assertEqual({'i1': (2, 'a\nb')}, kept(restored))
+        self.assertEqual({'i1': (2, 'a\nb')}, saved_progress(restored))
         self.assertEqual(1.5, restored.direct['j1'].kept['i1'].spent)
         restored.apply(progress(2, 3, 'c'))
-        self.assertEqual({'i1': (3, 'a\nb\nc')}, kept(restored))
+        self.assertEqual({'i1': (3, 'a\nb\nc')}, saved_progress(restored))
 
 
 class FormatTest(unittest.TestCase):
-    """Records of a version that keeps no progress, and the other way round."""
+    """Records are compatible with a version that saves no progress."""
 
     def test_older_record(self):
         body = b'{"kind":"direct-results-recorded","job":"j1","results":[]}'
         state = ShardState()
         state.replay([_ACCEPTED, msgspec.json.decode(body, type=Record)])
-        self.assertEqual({}, kept(state))
+        self.assertEqual({}, saved_progress(state))
 
     def test_record_for_an_older_version(self):
-        """An older version reads known kinds only and skips unknown fields."""
+        """An older version knows the record kind and skips unknown fields."""
         found = msgspec.json.decode(encode(progress(-1, 1, 'a')))
         self.assertEqual('direct-results-recorded', found['kind'])
         self.assertEqual([], found['results'])
 
 
 class FenceTest(unittest.TestCase):
-    """Two owners of one shard."""
+    """A fenced owner can no longer save progress."""
 
-    def test_progress_of_a_deposed_owner_does_not_count(self):
+    def test_progress_of_a_fenced_owner_is_rejected(self):
         store = BoundedStore()
         first = ShardLog(store, ShardId(1), Owner('n1', 'a'), _SETTINGS)
         first.take_over()
         first.commit([_ACCEPTED, progress(-1, 1, 'a')])
         second = ShardLog(store, ShardId(1), Owner('n2', 'b'), _SETTINGS)
         state = second.take_over().ok_value
-        self.assertEqual({'i1': (1, 'a')}, kept(state))
+        self.assertEqual({'i1': (1, 'a')}, saved_progress(state))
         late = first.commit([progress(1, 2, 'b')])
         self.assertIs(FailureKind.CONFLICT, late.err_value.kind)
         third = ShardLog(store, ShardId(1), Owner('n3', 'c'), _SETTINGS)
-        self.assertEqual({'i1': (1, 'a')}, kept(third.take_over().ok_value))
+        self.assertEqual(
+            {'i1': (1, 'a')}, saved_progress(third.take_over().ok_value)
+        )
--- a/tests/test_ledger_segments.py
+++ b/tests/test_ledger_segments.py
@@ -1,4 +1,4 @@
-"""What a shard commits stays within the values of the object service."""
+"""Commits of a shard stay within the size limit of the object service."""
 
 import random
 import unittest
@@ -23,7 +23,7 @@
 
 
 def _results(count, size):
-    noise = random.Random(count)
+    random_source = random.Random(count)
     return [
         DirectResultsRecorded(
             job='j1',
@@ -31,7 +31,7 @@
                 DirectResult(
                     item=f'i{at}',
                     completed=True,
-                    text=noise.randbytes(size // 2).hex(),
+                    text=random_source.randbytes(size // 2).hex(),
                 ),
             ],
         )
@@ -40,7 +40,7 @@
 
 
 class SegmentTest(unittest.TestCase):
-    """A commit of any size is read back whole and in order."""
+    """A commit of any size is read back complete and in order."""
 
     @parameterized.expand(
         [
@@ -59,11 +59,11 @@
         self.assertTrue(log.commit(records).is_ok())
         other = ShardLog(store, ShardId(1), Owner('n2', 'b'), _SETTINGS)
         state = other.take_over().ok_value
-        expected = [one.results[0] for one in records]
+        expected = [record.results[0] for record in records]
         self.assertEqual(expected, state.direct['j1'].results)
 
     def test_commits_go_on_while_replaced_segments_are_deleted(self):
-        """Some hundred calls follow a snapshot, and jobs wait for commits."""
+        """Deleting replaced segments must not delay commits."""
         store = BoundedStore()
         log = ShardLog(store, ShardId(1), Owner('n1', 'a'), _SETTINGS)
         state = log.take_over().ok_value
@@ -74,11 +74,11 @@
         store.calls.clear()
         log.fold(state)
         self.assertTrue(log.commit([_ACCEPTED]).is_ok())
-        self.assertFalse(store.made('delete'))
+        self.assertFalse(store.calls_of('delete'))
         gevent.sleep(0.01)
-        self.assertEqual(len(segments), len(store.made('delete')))
-        # Their versions are known: no call goes into reading them.
-        self.assertFalse(store.made('fetch'))
+        self.assertEqual(len(segments), len(store.calls_of('delete')))
+        # The versions of segments written by this process need not be read.
+        self.assertFalse(store.calls_of('fetch'))
         self.assertFalse(segments & store.keys)
 
     def test_confirm_sees_another_owner(self):
--- a/tests/test_ledger_state.py
+++ b/tests/test_ledger_state.py
@@ -1,4 +1,4 @@
-"""The rules that make a result final, replayed from records."""
+"""Which records take effect in the state of a shard."""
 
 import unittest
 
@@ -90,7 +90,7 @@
             ),
             ('nothing after a cancel', [CANCEL, results('p', 0)], {}, False),
             (
-                'what came before a cancel stays',
+                'results before a cancel stay',
                 [results('p', 0), CANCEL, results('q', 1)],
                 {'p': [0]},
                 False,
@@ -101,8 +101,8 @@
         state = ShardState()
         state.replay([accepted(), *records])
         job = state.jobs['j']
-        held = {pack.key: pack.positions for pack in job.packs}
-        self.assertEqual((held, bool(job.finished_at)), (packs, finished))
+        recorded = {pack.key: pack.positions for pack in job.packs}
+        self.assertEqual((recorded, bool(job.finished_at)), (packs, finished))
 
     @parameterized.expand(
         [
@@ -177,7 +177,7 @@
 
 
 class FormatTest(unittest.TestCase):
-    def test_newer_format_is_refused_by_name(self) -> None:
+    def test_newer_format_is_rejected_with_key(self) -> None:
         body = b'{"format": 2, "shard": 0}'
         with self.assertRaisesRegex(UnknownFormatError, 'ledger/0000/head'):
             decode(body, Head, 'ledger/0000/head')
