--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 
 import gevent
-from bendlead_ledger import Owner, ShardId, read_holder
+from bendlead_ledger import Owner, ShardId, read_owner
 from bendlead_store import FollowedStore, clock
 from result import Err
 
@@ -142,7 +142,7 @@
         if not self._is_preferred(shard):
             return False
         if shard not in self._initial_owners:
-            owner = read_holder(self._store, ShardId(shard))
+            owner = read_owner(self._store, ShardId(shard))
             if isinstance(owner, Err):
                 return False
             self._initial_owners[shard] = owner.ok_value
--- a/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
@@ -31,7 +31,7 @@
     Owner,
     ShardLog,
     head_key,
-    read_holder,
+    read_owner,
 )
 from bendlead_ledger._objects import read_parts, write_once, write_parts
 from bendlead_ledger._shard import Shard, open_shard
@@ -64,7 +64,7 @@
     'job_id',
     'open_shard',
     'pack_items',
-    'read_holder',
+    'read_owner',
     'read_parts',
     'request_id',
     'shard_of',
--- a/packages/bendlead-ledger/src/bendlead_ledger/_committer.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_committer.py
@@ -195,7 +195,7 @@
     def _write_snapshot(self) -> None:
         if clock.uptime() < self._next_snapshot:
             return
-        written = self._log.fold(self._state)
+        written = self._log.write_snapshot(self._state)
         self._snapshot_failure = None
         if isinstance(written, Ok):
             return
--- a/packages/bendlead-ledger/src/bendlead_ledger/_log.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_log.py
@@ -142,7 +142,7 @@
         """Return whether there are enough segments for a snapshot."""
         return len(self._owned_head().segments) >= self._settings.segments
 
-    def fold(self, state: ShardState) -> Result[None, Failure]:
+    def write_snapshot(self, state: ShardState) -> Result[None, Failure]:
         """Replace all records by a snapshot of the state they produced."""
         head = self._owned_head()
         snapshot = _codec.encode(state.snapshot())
@@ -328,7 +328,7 @@
     return f'ledger/{shard:04x}/head'
 
 
-def read_holder(store: ValueStore, shard: ShardId) -> Result[str, Failure]:
+def read_owner(store: ValueStore, shard: ShardId) -> Result[str, Failure]:
     """Return the name of a shard's last owner; empty if it had none."""
     found = store.fetch(head_key(shard))
     if isinstance(found, Err):
--- a/tests/test_ledger_committer.py
+++ b/tests/test_ledger_committer.py
@@ -82,11 +82,11 @@
         log.commit.return_value = Ok(None)
         log.needs_snapshot.return_value = True
 
-        def fold(_state):
+        def write_snapshot(_state):
             log.fenced = fenced
             return Err(failure)
 
-        log.fold.side_effect = fold
+        log.write_snapshot.side_effect = write_snapshot
         on_lost = mock.Mock()
         committer = Committer(log, mock.Mock(), lambda: 0, on_lost)
         self.addCleanup(committer.close)
@@ -95,5 +95,5 @@
         self.assertEqual(lost, committer.lost)
         self.assertEqual(lost, on_lost.called)
         # As it writes the whole state, it is not retried at each commit.
-        self.assertEqual(1, log.fold.call_count)
+        self.assertEqual(1, log.write_snapshot.call_count)
         self.assertEqual(None if lost else failure, committer.snapshot_failure)
--- a/tests/test_ledger_segments.py
+++ b/tests/test_ledger_segments.py
@@ -72,7 +72,7 @@
         segments = {key for key in store.keys if 'segment' in key}
         self.assertGreaterEqual(len(segments), 8)
         store.calls.clear()
-        log.fold(state)
+        log.write_snapshot(state)
         self.assertTrue(log.commit([_ACCEPTED]).is_ok())
         self.assertFalse(store.calls_of('delete'))
         gevent.sleep(0.01)
