--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator, Sequence
 
-from bendlead_ledger import BEFORE_FIRST, DirectJobState, KeptProgress
+from bendlead_ledger import BEFORE_FIRST, DirectJobState, SavedProgress
 from bendlead_schema.records import (
     DirectProgress,
     DirectResult,
@@ -56,7 +56,7 @@
 
     @classmethod
     def restored(
-        cls, item: JobItem, kept: KeptProgress | None, failures: int = 0
+        cls, item: JobItem, kept: SavedProgress | None, failures: int = 0
     ) -> 'Progress':
         """Return the progress that an earlier owner saved, if any."""
         if kept is None:
@@ -68,7 +68,7 @@
             failures,
             _saved_failures=failures,
             _restored=True,
-            _previous_run_seconds=kept.spent,
+            _previous_run_seconds=kept.run_seconds,
             _saved_texts=1,
             _saved_event=kept.last_event,
         )
@@ -163,11 +163,11 @@
         self.progress = {
             item.item: Progress.restored(
                 item,
-                state.kept.get(item.item),
+                state.saved_progress.get(item.item),
                 state.failures.get(item.item, 0),
             )
             for item in items
-            if not state.listed(item.item)
+            if not state.has_result(item.item)
         }
 
     @property
@@ -227,7 +227,7 @@
     def publish_results(self) -> None:
         """Wake the readers and drop the progress of items with a result."""
         for item in list(self.progress):
-            if self.state.listed(item):
+            if self.state.has_result(item):
                 self.progress.pop(item)
         self.changed.set()
         self.changed = Event()
--- a/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
@@ -10,7 +10,7 @@
 from bendlead_ledger._direct import (
     BEFORE_FIRST,
     DirectJobState,
-    KeptProgress,
+    SavedProgress,
     pack_items,
     unpack_items,
 )
@@ -46,7 +46,7 @@
     'FileWriter',
     'GrantOrder',
     'JobId',
-    'KeptProgress',
+    'SavedProgress',
     'Owner',
     'RequestId',
     'Shard',
--- a/packages/bendlead-ledger/src/bendlead_ledger/_direct.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_direct.py
@@ -28,12 +28,12 @@
 BEFORE_FIRST = -1
 
 
-class KeptProgress(Struct):
+class SavedProgress(Struct):
     """Events saved in the log of an item that has no result yet."""
 
     last_event: int = BEFORE_FIRST
     #: Total time for which runs of the item have used slots.
-    spent: float = 0
+    run_seconds: float = 0
     _texts: list[str] = field(default_factory=list)
 
     @property
@@ -46,7 +46,7 @@
         if progress.after != self.last_event:
             return False
         self.last_event = progress.last_event
-        self.spent = progress.spent
+        self.run_seconds = progress.spent
         self._texts.append(progress.text)
         return True
 
@@ -57,7 +57,7 @@
     accepted: DirectJobAccepted
     results: list[DirectResult] = field(default_factory=list)
     ended: bool = False
-    kept: dict[str, KeptProgress] = field(default_factory=dict)
+    saved_progress: dict[str, SavedProgress] = field(default_factory=dict)
     #: Failed runs of each item that has no result yet.
     failures: dict[str, int] = field(default_factory=dict)
     _done: set[str] = field(default_factory=set)
@@ -72,11 +72,11 @@
         """Return the state that a snapshot holds."""
         job = cls(snapshot.accepted, ended=snapshot.ended)
         job.record(snapshot.results)
-        job.keep(snapshot.progress)
-        job.count(snapshot.failed)
+        job.add_progress(snapshot.progress)
+        job.update_failures(snapshot.failed)
         return job
 
-    def listed(self, item: str) -> bool:
+    def has_result(self, item: str) -> bool:
         """Return whether an item has its result."""
         return item in self._done
 
@@ -90,24 +90,24 @@
             if result.item not in self._done:
                 self._done.add(result.item)
                 self.results.append(result)
-                self.kept.pop(result.item, None)
+                self.saved_progress.pop(result.item, None)
                 self.failures.pop(result.item, None)
                 changed = True
         return changed
 
-    def keep(self, progress: Sequence[DirectProgress]) -> bool:
+    def add_progress(self, progress: Sequence[DirectProgress]) -> bool:
         """Add events of items that may still run; return whether any is new."""
         changed = False
         for update in progress:
             if self.ended or update.item in self._done:
                 continue
-            saved = self.kept.get(update.item, KeptProgress())
+            saved = self.saved_progress.get(update.item, SavedProgress())
             if saved.extend(update):
-                self.kept[update.item] = saved
+                self.saved_progress[update.item] = saved
                 changed = True
         return changed
 
-    def count(self, failed: Sequence[ItemFailures]) -> bool:
+    def update_failures(self, failed: Sequence[ItemFailures]) -> bool:
         """Update failure counts that rose; return whether any did."""
         changed = False
         for update in failed:
@@ -123,7 +123,7 @@
         if self.ended:
             return False
         self.ended = True
-        self.kept.clear()
+        self.saved_progress.clear()
         self.failures.clear()
         return True
 
@@ -138,9 +138,9 @@
                     item=item,
                     last_event=saved.last_event,
                     text=saved.text,
-                    spent=saved.spent,
+                    spent=saved.run_seconds,
                 )
-                for item, saved in self.kept.items()
+                for item, saved in self.saved_progress.items()
             ],
             failed=[
                 ItemFailures(item=item, failures=count)
--- a/packages/bendlead-ledger/src/bendlead_ledger/_state.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_state.py
@@ -210,8 +210,8 @@
         if job is None:
             return False
         recorded = job.record(record.results)
-        counted = job.count(record.failed)
-        return job.keep(record.progress) or counted or recorded
+        counted = job.update_failures(record.failed)
+        return job.add_progress(record.progress) or counted or recorded
 
     def end_direct(self, record: DirectJobEnded) -> bool:
         """End a direct job."""
--- a/tests/test_gateway_progress.py
+++ b/tests/test_gateway_progress.py
@@ -9,7 +9,7 @@
 from bendlead_gateway._jobs.owned_job import OwnedJob, Progress
 from bendlead_gateway._jobs.progress import ProgressWriter
 from bendlead_gateway.types import ItemId, JobId, JobItem
-from bendlead_ledger import DirectJobState, KeptProgress
+from bendlead_ledger import DirectJobState, SavedProgress
 from bendlead_schema.records import (
     DirectJobAccepted,
     DirectProgress,
@@ -48,7 +48,7 @@
         first = self.start_sole_owner()
         self.run_first_events(first)
         shard = first._shard_manager.owned[node_shard()]
-        eventually(lambda: shard.jobs['j1'].state.kept)
+        eventually(lambda: shard.jobs['j1'].state.saved_progress)
         second = self.start_owner('owner-2')
         self.isolate(first, second)
         eventually(lambda: len(second._shard_manager.owned) == 4, 5)
@@ -100,12 +100,12 @@
         node = self.start_sole_owner()
         self.run_first_events(node)
         state = node._shard_manager.owned[node_shard()].jobs['j1'].state
-        eventually(lambda: state.kept)
+        eventually(lambda: state.saved_progress)
         node.fleet.loads.own.online['i-1'] += 8
         eventually(lambda: not node._runner.running)
         node.fleet.loads.own.online['i-1'] -= 8
         eventually(lambda: self.results(node))
-        self.assertEqual({}, state.kept)
+        self.assertEqual({}, state.saved_progress)
 
     def test_write_rate(self):
         """Running items take about one write a second."""
@@ -178,7 +178,7 @@
             self.assertIs(kept, text)
 
     def test_restored(self):
-        kept = KeptProgress()
+        kept = SavedProgress()
         kept.extend(
             DirectProgress(item='i1', last_event=7, text='a\nb', spent=2.5)
         )
--- a/tests/test_ledger_progress.py
+++ b/tests/test_ledger_progress.py
@@ -45,7 +45,7 @@
     """Return the last event and the text of each item in progress."""
     return {
         item: (saved.last_event, saved.text)
-        for item, saved in state.direct['j1'].kept.items()
+        for item, saved in state.direct['j1'].saved_progress.items()
     }
 
 
@@ -103,7 +103,9 @@
         body = encode(state.snapshot())
         restored.restore(decode(body, Snapshot, 'snapshot'))
         self.assertEqual({'i1': (2, 'a\nb')}, saved_progress(restored))
-        self.assertEqual(1.5, restored.direct['j1'].kept['i1'].spent)
+        self.assertEqual(
+            1.5, restored.direct['j1'].saved_progress['i1'].run_seconds
+        )
         restored.apply(progress(2, 3, 'c'))
         self.assertEqual({'i1': (3, 'a\nb\nc')}, saved_progress(restored))
 
