--- a/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/__init__.py
@@ -23,7 +23,7 @@
     job_id,
     request_id,
     shard_of,
-    unique,
+    unique_id,
 )
 from bendlead_ledger._input import ChunkReader, FileWriter, file_lines
 from bendlead_ledger._jobs import NOT_OWNER
@@ -68,7 +68,7 @@
     'read_parts',
     'request_id',
     'shard_of',
-    'unique',
+    'unique_id',
     'unpack_items',
     'write_once',
     'write_parts',
--- a/packages/bendlead-ledger/src/bendlead_ledger/_ids.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_ids.py
@@ -16,7 +16,7 @@
 _HEXADECIMAL = 16
 
 
-def unique() -> str:
+def unique_id() -> str:
     """Return a random id of 32 hexadecimal digits."""
     return uuid.uuid4().hex
 
@@ -47,6 +47,6 @@
 
 
 def _sharded(team: str, key: str, shards: int) -> str:
-    name = digest(team, key or unique())
+    name = digest(team, key or unique_id())
     shard = int(name, _HEXADECIMAL) % shards
     return f'{shard:0{_SHARD_DIGITS}x}{name}'
--- a/packages/bendlead-ledger/src/bendlead_ledger/_log.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_log.py
@@ -31,7 +31,7 @@
 from result import Err, Ok, Result
 
 from bendlead_ledger import _codec
-from bendlead_ledger._ids import ShardId, unique
+from bendlead_ledger._ids import ShardId, unique_id
 from bendlead_ledger._objects import (
     MAX_BACKOFF_SECONDS,
     MIN_BACKOFF_SECONDS,
@@ -113,7 +113,7 @@
         head = self._owned_head()
         extended = msgspec.structs.replace(
             head,
-            commit=unique(),
+            commit=unique_id(),
             sequence=head.sequence + len(records),
             tail=[*head.tail, *records],
         )
@@ -151,7 +151,7 @@
             return parts
         compacted = msgspec.structs.replace(
             head,
-            commit=unique(),
+            commit=unique_id(),
             tail=[],
             segments=[],
             snapshot=SnapshotRef(
@@ -179,7 +179,7 @@
         claim = {
             'owner': self._owner.node,
             'address': self._owner.address,
-            'commit': unique(),
+            'commit': unique_id(),
         }
         if entry is None:
             return Head(
@@ -276,7 +276,7 @@
     def _write_segment(
         self, records: Sequence[Record], first: int
     ) -> Result[SegmentRef, Failure]:
-        key = f'ledger/{self._shard:04x}/segment/{unique()}'
+        key = f'ledger/{self._shard:04x}/segment/{unique_id()}'
         body = _codec.compress(msgspec.json.encode(records))
         written = write_once(self._store, key, body)
         if isinstance(written, Err):
--- a/packages/bendlead-ledger/src/bendlead_ledger/_objects.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_objects.py
@@ -9,7 +9,7 @@
 from gevent.pool import Pool
 from result import Err, Ok, Result
 
-from bendlead_ledger._ids import ShardId, unique
+from bendlead_ledger._ids import ShardId, unique_id
 
 #: Largest object: the service limits base64-encoded values to 1 MiB.
 _PART_BYTES = 700_000
@@ -52,7 +52,7 @@
     """Split bytes into immutable objects; return their keys in order."""
     parts = []
     for start in range(0, len(packed), _PART_BYTES):
-        key = f'ledger/{shard:04x}/part/{unique()}'
+        key = f'ledger/{shard:04x}/part/{unique_id()}'
         part = packed[start : start + _PART_BYTES]
         written = write_once(store, key, part)
         if isinstance(written, Err):
--- a/packages/bendlead-ledger/src/bendlead_ledger/_results.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_results.py
@@ -13,7 +13,7 @@
 
 from bendlead_ledger import _codec
 from bendlead_ledger._committer import Committer
-from bendlead_ledger._ids import ShardId, unique
+from bendlead_ledger._ids import ShardId, unique_id
 from bendlead_ledger._objects import write_once
 
 _MIN_FAILED_STATUS = 400
@@ -97,7 +97,7 @@
         self._writing = None
 
     def _write(self, lines: list[ResultLine]) -> Result[None, Failure]:
-        key = f'results/{self._shard:04x}/{unique()}'
+        key = f'results/{self._shard:04x}/{unique_id()}'
         pack = ResultPack(format=_codec.FORMAT, lines=lines)
         body = gevent.get_hub().threadpool.apply(
             _codec.compress,
--- a/packages/bendlead-ledger/src/bendlead_ledger/_runs.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_runs.py
@@ -10,7 +10,7 @@
 from bendlead_store import clock
 from msgspec import Struct
 
-from bendlead_ledger._ids import unique
+from bendlead_ledger._ids import unique_id
 
 
 class Run(Struct):
@@ -37,7 +37,7 @@
 
     def grant(self, job: str, endpoint: str, positions: Sequence[int]) -> Run:
         """Lease items to an endpoint under a new run id."""
-        return self._add(unique(), job, endpoint, positions)
+        return self._add(unique_id(), job, endpoint, positions)
 
     def renew(self, endpoint: str, leases: Iterable[RunLease]) -> None:
         """Renew runs and add those that an earlier owner granted."""
--- a/packages/bendlead-node/src/bendlead_node/_entry/files.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/files.py
@@ -13,7 +13,7 @@
     decode,
     encode,
     file_lines,
-    unique,
+    unique_id,
     write_once,
 )
 from bendlead_schema.objects import Team
@@ -106,7 +106,7 @@
     def upload(self, call: Call) -> Answer:
         """Store an uploaded batch file."""
         team = self._gate.team(call)
-        file_id = f'file-{unique()}'
+        file_id = f'file-{unique_id()}'
         writer = FileWriter(
             self._store,
             file_id,
--- a/packages/bendlead-node/src/bendlead_node/_entry/outputs.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/outputs.py
@@ -9,7 +9,7 @@
     decode,
     decompress,
     shard_of,
-    unique,
+    unique_id,
 )
 from bendlead_schema.messages import FetchOutput, JobView, OutputView
 from bendlead_schema.objects import Team
@@ -158,5 +158,5 @@
             'message': f'line {position + 1} cannot be run; see the errors',
         }
     )
-    shown = _OutputLine(unique(), name, None, msgspec.Raw(detail))
+    shown = _OutputLine(unique_id(), name, None, msgspec.Raw(detail))
     return msgspec.json.encode(shown) + b'\n'
--- a/packages/bendlead-node/src/bendlead_node/_entry/process.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/process.py
@@ -5,7 +5,7 @@
 from http import HTTPStatus
 
 import gevent
-from bendlead_ledger import GrantOrder, Owner, unique
+from bendlead_ledger import GrantOrder, Owner, unique_id
 from bendlead_schema.messages import (
     EntryHeartbeat,
     EntryState,
@@ -63,7 +63,7 @@
         if settings.store is None:
             raise ValueError('an entry needs store settings')
         self._settings = settings
-        self._incarnation = unique()
+        self._incarnation = unique_id()
         self._leaving = False
         self._left_at = 0.0
         self._app = WebApp([])
--- a/packages/bendlead-node/src/bendlead_node/_entry/recording.py
+++ b/packages/bendlead-node/src/bendlead_node/_entry/recording.py
@@ -6,7 +6,7 @@
 
 import gevent
 import msgspec
-from bendlead_ledger import ShardId, digest, request_id, shard_of, unique
+from bendlead_ledger import ShardId, digest, request_id, shard_of, unique_id
 from bendlead_schema.messages import (
     AcceptRequest,
     CompleteRequest,
@@ -123,7 +123,7 @@
             repeatable=request.repeatable,
             body=request.body.decode(),
             runner=self._runner,
-            nonce=unique(),
+            nonce=unique_id(),
             service=request.service,
             model=request.model,
             method=request.method,
