--- a/packages/bendlead-ledger/src/bendlead_ledger/_committer.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_committer.py
@@ -70,7 +70,7 @@
 
     @property
     def failure(self) -> Failure | None:
-        """Why the shard was lost; None if it was fenced or is not lost."""
+        """Failure with which the shard was lost; None without one."""
         return self._failure
 
     @property
