--- a/packages/bendlead-store/src/bendlead_store/__init__.py
+++ b/packages/bendlead-store/src/bendlead_store/__init__.py
@@ -1,4 +1,4 @@
-"""The platform's object service behind one protocol."""
+"""Clients of the platform's object service behind common protocols."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -49,7 +49,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Load an implementation when it is first used, for memory's sake."""
+    """Import an implementation on first use to save memory."""
     module = _IMPLEMENTATIONS.get(name)
     if module is None:
         raise AttributeError(f'module {__name__!r} has no attribute {name!r}')
--- a/packages/bendlead-store/src/bendlead_store/_embedded.py
+++ b/packages/bendlead-store/src/bendlead_store/_embedded.py
@@ -1,4 +1,4 @@
-"""An object service in a SQLite file, for one machine."""
+"""Object store in a SQLite file, for a single machine."""
 
 import sqlite3
 from collections.abc import Sequence
@@ -16,9 +16,9 @@
     VirtualMachine,
 )
 
-_POLL_SECONDS = 0.05
-_PAGE = 1000
-_TABLES = """
+_POLL_INTERVAL_SECONDS = 0.05
+_MAX_CHANGES = 1000
+_SCHEMA = """
 create table if not exists objects(
   key text primary key, version integer, deleted integer, body blob
 ) without rowid;
@@ -27,7 +27,7 @@
 
 
 class EmbeddedStore:
-    """Let several processes of one machine share a durable store."""
+    """Durable store that several processes of one machine can share."""
 
     def __init__(self, path: str) -> None:
         self._path = path
@@ -40,10 +40,10 @@
         self._database.execute('pragma journal_mode=wal')
         # FULL: an acknowledged write survives the loss of the machine.
         self._database.execute('pragma synchronous=full')
-        self._database.executescript(_TABLES)
+        self._database.executescript(_SCHEMA)
 
     def fetch(self, key: str) -> Result[Entry | None, Failure]:
-        """Read one value, or nothing where the key is absent."""
+        """Return the entry of a key, or None if it does not exist."""
         row = self._database.execute(
             'select version, body from objects where key=? and deleted=0',
             (key,),
@@ -71,7 +71,7 @@
         after: str,
         limit: int,
     ) -> Result[Sequence[Entry], Failure]:
-        """List a page of keys, without bodies, after the given key."""
+        """Return up to ``limit`` entries after a key, without bodies."""
         rows = self._database.execute(
             'select key, version from objects where deleted=0'
             ' and key>? and substr(key, 1, ?)=? order by key limit ?',
@@ -85,16 +85,16 @@
         after: Version,
         timeout: float,
     ) -> Result[Sequence[Change], Failure]:
-        """Wait up to timeout seconds for changes after a revision."""
-        until = clock.uptime() + timeout
+        """Wait up to ``timeout`` seconds for changes after a revision."""
+        deadline = clock.uptime() + timeout
         changes = self._changes(prefix, after)
-        while not changes and clock.uptime() < until:
-            gevent.sleep(_POLL_SECONDS)
+        while not changes and clock.uptime() < deadline:
+            gevent.sleep(_POLL_INTERVAL_SECONDS)
             changes = self._changes(prefix, after)
         return Ok(changes)
 
     def machines(self) -> Result[Sequence[VirtualMachine], Failure]:
-        """Read the list of VMs; one machine has no platform list."""
+        """Return no VMs, as there is no platform."""
         return Ok([])
 
     def _changes(self, prefix: str, after: Version) -> list[Change]:
@@ -102,7 +102,7 @@
             'select key, version, deleted, body from objects'
             ' where version>? and substr(key, 1, ?)=?'
             ' order by version limit ?',
-            (after, len(prefix), prefix, _PAGE),
+            (after, len(prefix), prefix, _MAX_CHANGES),
         ).fetchall()
         return [
             Change(key, Version(version), bool(deleted), body)
@@ -133,12 +133,12 @@
         *,
         deleted: bool,
     ) -> Result[Version, Failure]:
-        # Nothing between begin and commit yields to another task.
+        # Between begin and commit no call may switch to another task.
         with self._database:
             self._database.execute('begin immediate')
-            present = self._version(key)
-            if present != expected:
-                detail = f'{key} is at {present}, not at {expected}'
+            current = self._version(key)
+            if current != expected:
+                detail = f'{key} is at {current}, not at {expected}'
                 return Err(
                     Failure(FailureKind.CONFLICT, 'write', self._path, detail),
                 )
--- a/packages/bendlead-store/src/bendlead_store/_failure.py
+++ b/packages/bendlead-store/src/bendlead_store/_failure.py
@@ -1,4 +1,4 @@
-"""Failures that carry the step and the peer at which they arose."""
+"""Failures of calls, with the operation and the peer that failed."""
 
 import enum
 
@@ -6,7 +6,11 @@
 
 
 class FailureKind(enum.Enum):
-    """Say what is known of the effect of a failed call."""
+    """What is known of the effect of a failed call.
+
+    Only after UNKNOWN may the call have taken effect. HISTORY_GONE means that
+    the requested changes are no longer kept, LIMITED that a rate limit applies.
+    """
 
     CONFLICT = 'conflict'
     HISTORY_GONE = 'history_gone'
@@ -17,7 +21,7 @@
 
 
 class Failure(Struct, frozen=True):
-    """Tell a caller what failed, where, and when to come back (seconds)."""
+    """Failed call: its operation, its peer and the retry delay in seconds."""
 
     kind: FailureKind
     step: str
@@ -27,9 +31,9 @@
 
     @property
     def had_no_effect(self) -> bool:
-        """Tell whether the call is proved to have changed nothing."""
+        """Whether the call certainly changed nothing."""
         return self.kind is not FailureKind.UNKNOWN
 
     def __str__(self) -> str:
-        """Show the failure on one line."""
+        """Return the failure as one line of text."""
         return f'{self.step} at {self.peer}: {self.kind.value} {self.detail}'
--- a/packages/bendlead-store/src/bendlead_store/_http.py
+++ b/packages/bendlead-store/src/bendlead_store/_http.py
@@ -1,4 +1,4 @@
-"""The object service over HTTP."""
+"""Client of the object service over HTTP."""
 
 from collections.abc import Mapping, Sequence
 from http import HTTPStatus
@@ -20,12 +20,12 @@
 )
 
 VERSION_HEADER = 'X-Version'
-_POOL = 64
-_DEFAULT_RETRY_AFTER = 0.2
+_POOL_SIZE = 64
+_DEFAULT_RETRY_AFTER_SECONDS = 0.2
 
 
 class WireEntry(msgspec.Struct):
-    """Carry one entry or change in JSON."""
+    """JSON form of an entry or a change."""
 
     key: str
     version: int
@@ -34,20 +34,23 @@
 
 
 class WireMachine(msgspec.Struct):
-    """Carry one VM of the platform's list in JSON."""
+    """JSON form of a VM on the platform's list."""
 
     address: str
     leaving: bool = False
 
 
-class _Answer(msgspec.Struct):
+class _Response(msgspec.Struct):
     status: int
     headers: dict[str, str]
     body: bytes
 
 
 class HttpStore:
-    """Speak to the platform's object service at an IP address and port."""
+    """Client of the object service at an IP address and port.
+
+    ``timeout`` is in seconds and applies to connecting and to each read.
+    """
 
     def __init__(self, address: str, timeout: float) -> None:
         self._address = address
@@ -55,27 +58,27 @@
         self._client = HTTPClient(
             host,
             int(port),
-            concurrency=_POOL,
+            concurrency=_POOL_SIZE,
             connection_timeout=timeout,
             network_timeout=timeout,
         )
         self._watcher = HTTPClient(
             host,
             int(port),
-            concurrency=_POOL,
+            concurrency=_POOL_SIZE,
             connection_timeout=timeout,
             network_timeout=timeout + 60,
         )
 
     def fetch(self, key: str) -> Result[Entry | None, Failure]:
-        """Read one value, or nothing where the key is absent."""
-        answer = self._call('GET', _object_path(key))
-        if isinstance(answer, Err):
-            return answer
-        reply = answer.ok_value
-        if reply.status == HTTPStatus.NOT_FOUND:
+        """Return the entry of a key, or None if it does not exist."""
+        called = self._call('GET', _object_path(key))
+        if isinstance(called, Err):
+            return called
+        response = called.ok_value
+        if response.status == HTTPStatus.NOT_FOUND:
             return Ok(None)
-        return Ok(Entry(key, _version(reply), reply.body))
+        return Ok(Entry(key, _version(response), response.body))
 
     def put(
         self,
@@ -84,8 +87,8 @@
         expected: Version,
     ) -> Result[Version, Failure]:
         """Write a value if the key is still at the expected version."""
-        # POST, for the library resends a PUT whose reply was lost and would
-        # show the effect of the first as a conflict of the second.
+        # The HTTP library resends a PUT whose response was lost; the second
+        # one would then fail with a conflict. It does not resend a POST.
         return self._write('POST', key, expected, body)
 
     def delete(self, key: str, expected: Version) -> Result[Version, Failure]:
@@ -98,7 +101,7 @@
         after: str,
         limit: int,
     ) -> Result[Sequence[Entry], Failure]:
-        """List a page of keys, without bodies, after the given key."""
+        """Return up to ``limit`` entries after a key, without bodies."""
         query = _query(prefix=prefix, after=after, limit=str(limit))
         answer = self._call('GET', f'/objects?{query}')
         return answer.map(_entries)
@@ -109,13 +112,13 @@
         after: Version,
         timeout: float,
     ) -> Result[Sequence[Change], Failure]:
-        """Wait up to timeout seconds for changes after a revision."""
+        """Wait up to ``timeout`` seconds for changes after a revision."""
         query = _query(prefix=prefix, after=str(after), timeout=str(timeout))
         answer = self._call('GET', f'/watch?{query}', client=self._watcher)
         return answer.map(_changes)
 
     def machines(self) -> Result[Sequence[VirtualMachine], Failure]:
-        """Read the platform's lagging list of live and leaving VMs."""
+        """Return the platform's list of VMs, which may be out of date."""
         return self._call('GET', '/machines').map(_machines)
 
     def _write(
@@ -138,34 +141,38 @@
         body: bytes = b'',
         headers: Mapping[str, str] | None = None,
         client: HTTPClient | None = None,
-    ) -> Result[_Answer, Failure]:
+    ) -> Result[_Response, Failure]:
         step = f'{method} {path}'
         started = clock.uptime()
         try:
-            response = (client or self._client).request(
+            received = (client or self._client).request(
                 method,
                 path,
                 body,
                 dict(headers or {}),
             )
-            answer = _read(response)
+            response = _read_response(received)
         except ConnectionRefusedError as refused:
             return self._failed(FailureKind.NOT_DONE, step, str(refused))
-        except Exception as error:  # the library raises many kinds
-            waited = clock.uptime() - started
-            detail = f'{type(error).__name__} after {waited:.3f} s: {error}'
+        except Exception as error:  # the HTTP library raises many types
+            elapsed = clock.uptime() - started
+            detail = f'{type(error).__name__} after {elapsed:.3f} s: {error}'
             return self._failed(FailureKind.UNKNOWN, step, detail)
-        return self._judge(step, answer)
-
-    def _judge(self, step: str, answer: _Answer) -> Result[_Answer, Failure]:
-        if answer.status in {HTTPStatus.OK, HTTPStatus.NOT_FOUND}:
-            return Ok(answer)
-        if answer.status == HTTPStatus.PRECONDITION_FAILED:
-            return self._failed(FailureKind.CONFLICT, step, 'version moved on')
+        return self._check_status(step, response)
+
+    def _check_status(
+        self, step: str, response: _Response
+    ) -> Result[_Response, Failure]:
+        if response.status in {HTTPStatus.OK, HTTPStatus.NOT_FOUND}:
+            return Ok(response)
+        if response.status == HTTPStatus.PRECONDITION_FAILED:
+            return self._failed(
+                FailureKind.CONFLICT, step, 'the key is at another version'
+            )
         retry_after = float(
-            answer.headers.get('retry-after', _DEFAULT_RETRY_AFTER),
+            response.headers.get('retry-after', _DEFAULT_RETRY_AFTER_SECONDS),
         )
-        if answer.status == HTTPStatus.TOO_MANY_REQUESTS:
+        if response.status == HTTPStatus.TOO_MANY_REQUESTS:
             return self._failed(
                 FailureKind.LIMITED,
                 step,
@@ -175,7 +182,7 @@
         return self._failed(
             FailureKind.UNKNOWN,
             step,
-            f'status {answer.status}',
+            f'status {response.status}',
             retry_after,
         )
 
@@ -189,10 +196,10 @@
         return Err(Failure(kind, step, self._address, detail, retry_after))
 
 
-def _read(response: HTTPSocketPoolResponse) -> _Answer:
+def _read_response(response: HTTPSocketPoolResponse) -> _Response:
     body = bytes(response.read())
     headers = {name.lower(): text for name, text in response.items()}
-    return _Answer(response.status_code, headers, body)
+    return _Response(response.status_code, headers, body)
 
 
 def _object_path(key: str) -> str:
@@ -203,23 +210,25 @@
     return urlencode(fields)
 
 
-def _version(answer: _Answer) -> Version:
-    return Version(int(answer.headers.get(VERSION_HEADER.lower(), 0)))
+def _version(response: _Response) -> Version:
+    return Version(int(response.headers.get(VERSION_HEADER.lower(), 0)))
 
 
-def _entries(answer: _Answer) -> list[Entry]:
-    wire = msgspec.json.decode(answer.body, type=list[WireEntry])
-    return [Entry(one.key, Version(one.version)) for one in wire]
+def _entries(response: _Response) -> list[Entry]:
+    wire = msgspec.json.decode(response.body, type=list[WireEntry])
+    return [Entry(entry.key, Version(entry.version)) for entry in wire]
 
 
-def _changes(answer: _Answer) -> list[Change]:
-    wire = msgspec.json.decode(answer.body, type=list[WireEntry])
+def _changes(response: _Response) -> list[Change]:
+    wire = msgspec.json.decode(response.body, type=list[WireEntry])
     return [
-        Change(one.key, Version(one.version), one.deleted, one.body)
-        for one in wire
+        Change(change.key, Version(change.version), change.deleted, change.body)
+        for change in wire
     ]
 
 
-def _machines(answer: _Answer) -> list[VirtualMachine]:
-    wire = msgspec.json.decode(answer.body, type=list[WireMachine])
-    return [VirtualMachine(one.address, one.leaving) for one in wire]
+def _machines(response: _Response) -> list[VirtualMachine]:
+    wire = msgspec.json.decode(response.body, type=list[WireMachine])
+    return [
+        VirtualMachine(machine.address, machine.leaving) for machine in wire
+    ]
--- a/packages/bendlead-store/src/bendlead_store/_opening.py
+++ b/packages/bendlead-store/src/bendlead_store/_opening.py
@@ -1,4 +1,4 @@
-"""Open the object service that the settings name."""
+"""Choice of the object store by the settings."""
 
 from bendlead_schema.settings import StoreKind, StoreSettings
 
@@ -8,7 +8,7 @@
 
 
 def open_store(settings: StoreSettings) -> ObjectStore:
-    """Open the embedded store or connect to the service."""
+    """Return the embedded store or a client of the object service."""
     if settings.kind is StoreKind.embedded:
         return EmbeddedStore(settings.path)
     return HttpStore(settings.address, settings.timeout)
--- a/packages/bendlead-store/src/bendlead_store/_protocol.py
+++ b/packages/bendlead-store/src/bendlead_store/_protocol.py
@@ -1,4 +1,4 @@
-"""What the system needs of an object service."""
+"""Protocols and types of an object store."""
 
 from collections.abc import Sequence
 from typing import Final, NewType, Protocol
@@ -8,16 +8,16 @@
 
 from bendlead_store._failure import Failure
 
-#: A version is the revision of the whole service at which a value was
-#: written, so that no key ever sees the same version twice.
+#: Revision of the whole store at which a value was written; a key never has
+#: the same version twice.
 Version = NewType('Version', int)
 
-#: The expected version of a key that must not exist yet.
+#: Expected version of a key that must not exist yet.
 ABSENT: Final = Version(0)
 
 
 class Entry(Struct, frozen=True):
-    """Hold a value together with the version a conditional update needs."""
+    """Value of a key with the version that conditional updates expect."""
 
     key: str
     version: Version
@@ -25,7 +25,7 @@
 
 
 class Change(Struct, frozen=True):
-    """Tell a watcher that a key was written or deleted at a version."""
+    """Write or deletion of a key at a version."""
 
     key: str
     version: Version
@@ -34,31 +34,31 @@
 
 
 class VirtualMachine(Struct, frozen=True):
-    """Name a VM on the platform's lagging list."""
+    """VM on the platform's list, which may be out of date."""
 
     address: str
     leaving: bool
 
 
 class Listing(Struct, frozen=True):
-    """Hold everything under a prefix as of one revision of the service."""
+    """All entries under a prefix at one revision of the store."""
 
     entries: Sequence[Entry]
     as_of: Version
 
 
 class Following(Struct, frozen=True):
-    """Hold the changes since a revision, and where to go on from."""
+    """Changes since a revision, and the revision to continue from."""
 
     changes: Sequence[Change]
     as_of: Version
 
 
 class ValueStore(Protocol):
-    """Read and change single values."""
+    """Store of single values with conditional updates."""
 
     def fetch(self, key: str) -> Result[Entry | None, Failure]:
-        """Read one value, or nothing where the key is absent."""
+        """Return the entry of a key, or None if it does not exist."""
 
     def put(
         self,
@@ -73,10 +73,10 @@
 
 
 class Contact(Struct):
-    """Keep when short calls were last answered and last failed (s).
+    """Times of the last successful and the last failed call.
 
-    On the steady clock. Held calls do not count: they may be cut while the
-    service is well, and stay open while it is away.
+    In seconds of ``clock.uptime``. Watches are left out: they may be closed
+    while the service works, and stay open while it is down.
     """
 
     answered_at: float = 0
@@ -84,25 +84,25 @@
 
     @property
     def returned(self) -> bool:
-        """Tell whether the service has answered after it had failed."""
+        """Whether a call has succeeded since the last failed one."""
         return 0 < self.failed_at < self.answered_at
 
 
 class FollowedStore(ValueStore, Protocol):
-    """Read all values of a prefix, then follow their changes."""
+    """Store that lists all values of a prefix and follows their changes."""
 
-    #: Calls made so far; each may be paid for.
+    #: Number of calls made, as calls may be billed.
     calls: int
     contact: Contact
 
     def move(self, address: str) -> None:
-        """Call another address from now on."""
+        """Send further calls to another address."""
 
     def list_entries(self, prefix: str) -> Result[Listing, Failure]:
-        """Read every entry under a prefix, with bodies."""
+        """Return all entries under a prefix, with bodies."""
 
     def put_status(self, key: str, body: bytes) -> Result[Version, Failure]:
-        """Replace the status of an object that others specify."""
+        """Replace the status of an object whose specification others own."""
 
     def follow(
         self,
@@ -110,14 +110,14 @@
         after: Version,
         timeout: float,
     ) -> Result[Following, Failure]:
-        """Wait up to timeout seconds for changes after a revision.
+        """Wait up to ``timeout`` seconds for changes after a revision.
 
-        Fails with HISTORY_GONE where the changes are no longer known.
+        Fails with HISTORY_GONE if the store no longer has these changes.
         """
 
 
 class ObjectStore(ValueStore, Protocol):
-    """Stand between the system and whichever object service is used."""
+    """Object store with paged listing, watches and the list of VMs."""
 
     def list_keys(
         self,
@@ -125,7 +125,7 @@
         after: str,
         limit: int,
     ) -> Result[Sequence[Entry], Failure]:
-        """List a page of keys, without bodies, after the given key."""
+        """Return up to ``limit`` entries after a key, without bodies."""
 
     def watch(
         self,
@@ -133,7 +133,7 @@
         after: Version,
         timeout: float,
     ) -> Result[Sequence[Change], Failure]:
-        """Wait up to timeout seconds for changes after a revision."""
+        """Wait up to ``timeout`` seconds for changes after a revision."""
 
     def machines(self) -> Result[Sequence[VirtualMachine], Failure]:
-        """Read the platform's lagging list of live and leaving VMs."""
+        """Return the platform's list of VMs, which may be out of date."""
