--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_failover.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/store_failover.py
@@ -13,12 +13,12 @@
 import msgspec
 from bendlead_schema.gateway import StoreAnswer, StoreCall, StoreOperation
 from bendlead_store import (
-    Contact,
+    ChangeBatch,
+    Connectivity,
     Entry,
     Failure,
     FailureKind,
     FollowedStore,
-    Following,
     Listing,
     Version,
     clock,
@@ -94,9 +94,9 @@
         return self.direct.calls
 
     @property
-    def contact(self) -> Contact:
+    def connectivity(self) -> Connectivity:
         """Return when direct calls last succeeded and failed."""
-        return self.direct.contact
+        return self.direct.connectivity
 
     @property
     def last_success_at(self) -> float:
@@ -153,13 +153,13 @@
 
     def follow(
         self, prefix: str, after: Version, timeout: float
-    ) -> Result[Following, Failure]:
+    ) -> Result[ChangeBatch, Failure]:
         """Wait up to timeout seconds for changes after a revision."""
         return self.direct.follow(prefix, after, timeout)
 
-    def move(self, address: str) -> None:
+    def use_address(self, address: str) -> None:
         """Use another address from now on."""
-        self.direct.move(address)
+        self.direct.use_address(address)
 
     def _call(self, call: StoreCall) -> Outcome:
         if self._unreachable_since:
@@ -195,7 +195,7 @@
             return make_call(self.direct, call)
         with gevent.Timeout(_DIRECT_TIMEOUT_SECONDS, exception=False):
             return make_call(self.direct, call)
-        self.contact.failed_at = clock.uptime()
+        self.connectivity.failed_at = clock.uptime()
         return _failed(FailureKind.UNKNOWN, call, 'object service', 'timed out')
 
     def _probe(self, key: str) -> None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -190,8 +190,8 @@
             shards=[],
             paces=self._pace_updates.outgoing(),
             revisions=self.fleet.revisions(),
-            answered_ms=_age_ms(self.store.contact.answered_at),
-            failed_ms=_age_ms(self.store.contact.failed_at),
+            answered_ms=_age_ms(self.store.connectivity.answered_at),
+            failed_ms=_age_ms(self.store.connectivity.failed_at),
             configuration=self.fleet.configuration.version,
             refused=self.fleet.refusals.own_counts,
         )
@@ -259,8 +259,8 @@
             self._check_resume(suspension.poll())
             self._reload(requested=False)
             self.fleet.pool.close_expired()
-            if self.store.contact.returned:
-                self.fleet.restart_watches(self.store.contact.failed_at)
+            if self.store.connectivity.has_recovered:
+                self.fleet.restart_watches(self.store.connectivity.failed_at)
 
     def _check_resume(self, suspended: float) -> None:
         """Re-list watches that were open when the machine was suspended."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
@@ -61,7 +61,7 @@
             return settings
         changed = _changed_fields(settings, latest)
         if 'store_address' in changed:
-            self._store.move(latest.store_address)
+            self._store.use_address(latest.store_address)
         self._log.event(
             'reload',
             changed=','.join(changed) or 'nothing',
--- a/packages/bendlead-store/src/bendlead_store/_protocol.py
+++ b/packages/bendlead-store/src/bendlead_store/_protocol.py
@@ -47,7 +47,7 @@
     as_of: Version
 
 
-class Following(Struct, frozen=True):
+class ChangeBatch(Struct, frozen=True):
     """Changes since a revision, and the revision to continue from."""
 
     changes: Sequence[Change]
@@ -72,7 +72,7 @@
         """Delete a key if it is still at the expected version."""
 
 
-class Contact(Struct):
+class Connectivity(Struct):
     """Times of the last successful and the last failed call.
 
     In seconds of ``clock.uptime``. Watches are left out: they may be closed
@@ -83,7 +83,7 @@
     failed_at: float = 0
 
     @property
-    def returned(self) -> bool:
+    def has_recovered(self) -> bool:
         """Whether a call has succeeded since the last failed one."""
         return 0 < self.failed_at < self.answered_at
 
@@ -93,9 +93,9 @@
 
     #: Number of calls made, as calls may be billed.
     calls: int
-    contact: Contact
+    connectivity: Connectivity
 
-    def move(self, address: str) -> None:
+    def use_address(self, address: str) -> None:
         """Send further calls to another address."""
 
     def list_entries(self, prefix: str) -> Result[Listing, Failure]:
@@ -109,7 +109,7 @@
         prefix: str,
         after: Version,
         timeout: float,
-    ) -> Result[Following, Failure]:
+    ) -> Result[ChangeBatch, Failure]:
         """Wait up to ``timeout`` seconds for changes after a revision.
 
         Fails with HISTORY_GONE if the store no longer has these changes.
--- a/tests/test_gateway_reload.py
+++ b/tests/test_gateway_reload.py
@@ -64,7 +64,7 @@
         latest = found.ok_value if found.is_ok() else None
         self.assertEqual(latest or _SETTINGS, after)
         self.assertEqual(
-            [mock.call(moved)] if moved else [], store.move.mock_calls
+            [mock.call(moved)] if moved else [], store.use_address.mock_calls
         )
 
 
