--- a/packages/bendlead-ledger/src/bendlead_ledger/_jobs.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_jobs.py
@@ -186,7 +186,7 @@
         lines = [
             _result_line(command.job, report)
             for report in command.reports
-            if job.waits(report.position)
+            if job.is_waiting(report.position)
         ]
         if lines:
             recorded = self._packer.record(lines)
@@ -257,12 +257,12 @@
         cursor = self._cursors[job.accepted.job]
         while cursor.returned:
             position = cursor.returned.pop(0)
-            if job.waits(position) and position not in leased:
+            if job.is_waiting(position) and position not in leased:
                 yield position
         while cursor.position < len(job.status):
             position = cursor.position
             cursor.position += 1
-            if job.waits(position) and position not in leased:
+            if job.is_waiting(position) and position not in leased:
                 yield position
 
     def _grant_items(
--- a/packages/bendlead-ledger/src/bendlead_ledger/_state.py
+++ b/packages/bendlead-ledger/src/bendlead_ledger/_state.py
@@ -71,7 +71,7 @@
         """Whether items of the job may still be run."""
         return not (self.finished_at or self.cancelled_at)
 
-    def waits(self, position: int) -> bool:
+    def is_waiting(self, position: int) -> bool:
         """Return whether an item has no result yet."""
         return self.status[position] == ItemStatus.WAITING
 
@@ -81,7 +81,7 @@
         Returns whether the state changed.
         """
         # A pack may contain an item twice if its report was resent.
-        new = list(dict.fromkeys(filter(self.waits, recorded.positions)))
+        new = list(dict.fromkeys(filter(self.is_waiting, recorded.positions)))
         if not new:
             return False
         failed = frozenset(recorded.failed)
@@ -179,7 +179,7 @@
         job = self.jobs.get(record.job)
         if job is None or not job.active:
             return False
-        for position in filter(job.waits, record.positions):
+        for position in filter(job.is_waiting, record.positions):
             job.attempts[position] = job.attempts.get(position, 0) + 1
         return True
 
