--- a/packages/bendlead-cli/src/bendlead_cli/_connection.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_connection.py
@@ -1,4 +1,4 @@
-"""Reach an entry as a team or an operator."""
+"""HTTP client of an entry, for teams and operators."""
 
 import json
 import os
@@ -11,11 +11,11 @@
 from urllib.request import Request, urlopen
 
 _DEFAULT_ENTRY = '127.0.0.1:8080'
-_TIMEOUT = 600.0
+_TIMEOUT_SECONDS = 600.0
 
 
 class Exit(Enum):
-    """Say what an exit code means."""
+    """Exit codes of the command line."""
 
     OK = 0
     FAILED = 1
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """Send requests to one entry with one key."""
+    """Client of one entry, authenticated by one API key."""
 
     entry: str
     key: str
@@ -38,10 +38,10 @@
         body: Any = None,
         **headers: str,
     ) -> Any:
-        """Send JSON and read JSON, or end with what the entry said."""
+        """Send and receive JSON; exit with the error of the entry, if any."""
         encoded = None if body is None else json.dumps(body).encode()
-        with self.open(method, path, encoded, **headers) as reply:
-            return json.loads(reply.read() or b'null')
+        with self.open(method, path, encoded, **headers) as response:
+            return json.loads(response.read() or b'null')
 
     def open(
         self,
@@ -50,7 +50,7 @@
         body: bytes | None = None,
         **headers: str,
     ) -> Any:
-        """Open a response to be read by the caller."""
+        """Send a request and return the open response; exit on an error."""
         request = Request(
             f'http://{self.entry}{path}',
             data=body,
@@ -59,26 +59,26 @@
                 'Authorization': f'Bearer {self.key}',
                 'Content-Type': 'application/json',
                 **{
-                    name.replace('_', '-'): text
-                    for name, text in headers.items()
+                    name.replace('_', '-'): header
+                    for name, header in headers.items()
                 },
             },
         )
         try:
-            return urlopen(request, timeout=_TIMEOUT)
+            return urlopen(request, timeout=_TIMEOUT_SECONDS)
         except HTTPError as error:
-            fail(Exit.REFUSED, _reason(error))
+            fail(Exit.REFUSED, _error_text(error))
         except OSError as error:
             fail(Exit.UNREACHABLE, f'{self.entry}: {error}')
 
     def lines(self, method: str, path: str, body: Any) -> Iterator[bytes]:
-        """Read a streamed response line by line."""
-        with self.open(method, path, json.dumps(body).encode()) as reply:
-            yield from reply
+        """Yield the lines of a streamed response as they arrive."""
+        with self.open(method, path, json.dumps(body).encode()) as response:
+            yield from response
 
 
 def connect() -> Connection:
-    """Connect as the environment says: BENDLEAD_ENTRY and BENDLEAD_KEY."""
+    """Return a client configured by BENDLEAD_ENTRY and BENDLEAD_KEY."""
     return Connection(
         os.environ.get('BENDLEAD_ENTRY', _DEFAULT_ENTRY),
         os.environ.get('BENDLEAD_KEY', ''),
@@ -86,17 +86,17 @@
 
 
 def fail(code: Exit, reason: str) -> NoReturn:
-    """End with a reason."""
+    """Print a reason to standard error and exit with a code."""
     sys.stderr.write(f'bendlead: {reason}\n')
     sys.exit(code.value)
 
 
-def _reason(error: HTTPError) -> str:
+def _error_text(error: HTTPError) -> str:
     body = error.read().decode(errors='replace')
     try:
-        shown = json.loads(body)['error']
+        details = json.loads(body)['error']
     except (ValueError, KeyError):
         return f'status {error.code}: {body}'
     retry_after = error.headers.get('Retry-After')
     hint = f'; come back in {retry_after} s' if retry_after else ''
-    return f'{shown["code"]}: {shown["message"]}{hint}'
+    return f'{details["code"]}: {details["message"]}{hint}'
--- a/packages/bendlead-cli/src/bendlead_cli/_engines.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_engines.py
@@ -1,4 +1,4 @@
-"""How engines stand, and by which evidence, as processes know it."""
+"""Health states of engines and the evidence for them."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -6,11 +6,10 @@
 from bendlead_cli._connection import Connection
 from bendlead_cli._printing import Output, show, table
 
-#: Stands for what is not there.
-_NONE = '-'
-#: The more an engine is kept from requests, the higher; of several processes
-#: the one that keeps it furthest is shown.
-_STANDINGS = ('trusted', 'doubted', 'on-trial', 'left-alone')
+#: Placeholder of an empty cell.
+_EMPTY = '-'
+#: From healthy to ejected. Where processes differ, the last of them is shown.
+_HEALTH_STATES = ('trusted', 'doubted', 'on-trial', 'left-alone')
 
 
 def engines(addresses: list[str], *, output: Output = Output.TEXT) -> None:
@@ -19,63 +18,68 @@
     Addresses are the internal ones of gateway processes, IP:PORT. An engine
     that is not listed is trusted by all of them.
     """
-    told = {
-        one: Connection(one, '')
+    states = {
+        address: Connection(address, '')
         .send('GET', '/debug/state')
         .get('engine_health', {})
-        for one in addresses
+        for address in addresses
     }
-    found = gather(told)
+    merged = merge_states(states)
     if output is Output.JSON:
-        show(found, output)
+        show(merged, output)
         return
     rows: list[tuple[Any, ...]] = [
         ('engine', 'standing', 'seen by', 'score', 'good', 'tries', 'evidence')
     ]
-    for name, one in sorted(found.items()):
-        rows.extend(_rows(name, one))
+    for name, engine in sorted(merged.items()):
+        rows.extend(_engine_rows(name, engine))
     table(rows)
 
 
-def gather(told: Mapping[str, Mapping[str, Any]]) -> dict[str, dict[str, Any]]:
-    """Bring together how processes find each engine to stand."""
-    found: dict[str, dict[str, Any]] = {}
-    for address, known in told.items():
-        for name, one in known.items():
-            best = found.setdefault(name, {**one, 'standings': {}})
-            if _rank(one) > _rank(best):
-                best.update(one)
-            best['standings'][address] = one['standing']
-    return found
+def merge_states(
+    states: Mapping[str, Mapping[str, Any]],
+) -> dict[str, dict[str, Any]]:
+    """Merge the health states of each engine that processes report."""
+    merged: dict[str, dict[str, Any]] = {}
+    for address, engines_of_node in states.items():
+        for name, engine in engines_of_node.items():
+            worst = merged.setdefault(name, {**engine, 'standings': {}})
+            if _severity(engine) > _severity(worst):
+                worst.update(engine)
+            worst['standings'][address] = engine['standing']
+    return merged
 
 
-def _rank(one: Mapping[str, Any]) -> int:
-    return _STANDINGS.index(one['standing'])
+def _severity(engine: Mapping[str, Any]) -> int:
+    return _HEALTH_STATES.index(engine['standing'])
 
 
-def _rows(name: str, one: Mapping[str, Any]) -> list[tuple[Any, ...]]:
-    """Make a row for each witness; the first one names the engine."""
-    standings: Sequence[str] = list(one['standings'].values())
-    agreed = standings.count(one['standing'])
-    head = (
+def _engine_rows(name: str, engine: Mapping[str, Any]) -> list[tuple[Any, ...]]:
+    """Return a row for each observer; the first one names the engine."""
+    standings: Sequence[str] = list(engine['standings'].values())
+    agreeing = standings.count(engine['standing'])
+    summary = (
         name,
-        one['standing'],
-        f'{agreed}/{len(standings)}',
-        one['score'],
-        f'{one["good"]}/{one["good_needed"]}',
-        one['tries'] or _NONE,
+        engine['standing'],
+        f'{agreeing}/{len(standings)}',
+        engine['score'],
+        f'{engine["good"]}/{engine["good_needed"]}',
+        engine['tries'] or _EMPTY,
     )
-    lines = [_evidence(witness) for witness in one['evidence']] or [_NONE]
-    rows: list[tuple[Any, ...]] = [(*head, lines[0])]
-    rows.extend((*('' for _cell in head), line) for line in lines[1:])
+    lines = [
+        _format_observation(observation) for observation in engine['evidence']
+    ] or [_EMPTY]
+    rows: list[tuple[Any, ...]] = [(*summary, lines[0])]
+    rows.extend((*('' for _cell in summary), line) for line in lines[1:])
     return rows
 
 
-def _evidence(said: Mapping[str, Any]) -> str:
+def _format_observation(observation: Mapping[str, Any]) -> str:
     failures = ' '.join(
-        f'{kind}={count}' for kind, count in sorted(said['failures'].items())
+        f'{kind}={count}'
+        for kind, count in sorted(observation['failures'].items())
     )
     return (
-        f'{said["witness"]}: {failures or "no failure"}'
-        f' answers={said["answers"]} {said["age_ms"]} ms ago'
+        f'{observation["witness"]}: {failures or "no failure"}'
+        f' answers={observation["answers"]} {observation["age_ms"]} ms ago'
     )
--- a/packages/bendlead-cli/src/bendlead_cli/_fleet.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_fleet.py
@@ -1,4 +1,4 @@
-"""Configuration, planned stops, and the state of the fleet."""
+"""Commands for configuration, planned stops and fleet state."""
 
 import json
 import pathlib
@@ -75,11 +75,11 @@
 def stop_status(endpoint: str, *, output: Output = Output.TEXT) -> None:
     """Tell whether an endpoint may be stopped safely."""
     found = connect().send('GET', '/admin/v1/status')
-    for one in found['endpoints']:
-        if one['endpoint'] == endpoint:
-            idle = not (one['online'] or one['batch'])
-            safe = one.get('leaving', False) and idle
-            show({**one, 'safe_to_stop': safe}, output)
+    for row in found['endpoints']:
+        if row['endpoint'] == endpoint:
+            idle = not (row['online'] or row['batch'])
+            safe = row.get('leaving', False) and idle
+            show({**row, 'safe_to_stop': safe}, output)
             return
     fail(Exit.FAILED, f'{endpoint}: not seen by this entry')
 
--- a/packages/bendlead-cli/src/bendlead_cli/_jobs.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs: submit, watch, cancel, read results."""
+"""Commands for batch jobs."""
 
 import mimetypes
 import pathlib
@@ -14,9 +14,9 @@
 from bendlead_cli._printing import Output, show
 
 _POLL_SECONDS = 0.5
-_ENDED = frozenset(('completed', 'cancelled', 'expired'))
-_BAR_WIDTH = 40
-_READ_BYTES = 65536
+_FINAL_STATUSES = frozenset(('completed', 'cancelled', 'expired'))
+_PROGRESS_BAR_CHARACTERS = 40
+_COPY_CHUNK_BYTES = 65536
 
 
 def submit(
@@ -54,16 +54,16 @@
 
 
 def watch(job: str, *, output: Output = Output.TEXT) -> None:
-    """Follow a job to its end; may be stopped and given again."""
+    """Follow a job to its end; may be interrupted and repeated."""
     connection = connect()
-    shown = connection.send('GET', f'/v1/batches/{job}')
-    while shown['status'] not in _ENDED:
-        _draw(shown)
+    job_state = connection.send('GET', f'/v1/batches/{job}')
+    while job_state['status'] not in _FINAL_STATUSES:
+        _draw_progress(job_state)
         time.sleep(_POLL_SECONDS)
-        shown = connection.send('GET', f'/v1/batches/{job}')
-    _draw(shown)
+        job_state = connection.send('GET', f'/v1/batches/{job}')
+    _draw_progress(job_state)
     sys.stderr.write('\n')
-    show(shown, output)
+    show(job_state, output)
 
 
 def cancel(job: str, *, output: Output = Output.TEXT) -> None:
@@ -75,25 +75,25 @@
     """Write the results or errors of a job to a file or standard output."""
     kind = 'err' if errors else 'out'
     path = f'/v1/files/file-{kind}-{job}/content'
-    with connect().open('GET', path) as reply:
+    with connect().open('GET', path) as response:
         if to == '-':
-            _copy(reply, sys.stdout.buffer)
+            _copy(response, sys.stdout.buffer)
         else:
             with pathlib.Path(to).open('wb') as target:
-                _copy(reply, target)
+                _copy(response, target)
 
 
 def _copy(source: Any, target: Any) -> None:
-    shutil.copyfileobj(source, target, _READ_BYTES)
+    shutil.copyfileobj(source, target, _COPY_CHUNK_BYTES)
 
 
-def _draw(shown: dict[str, Any]) -> None:
-    counts = shown['request_counts']
+def _draw_progress(job_state: dict[str, Any]) -> None:
+    counts = job_state['request_counts']
     done = counts['completed'] + counts['failed']
-    filled = _BAR_WIDTH * done // max(1, counts['total'])
-    progress = '#' * filled + '.' * (_BAR_WIDTH - filled)
+    filled = _PROGRESS_BAR_CHARACTERS * done // max(1, counts['total'])
+    progress = '#' * filled + '.' * (_PROGRESS_BAR_CHARACTERS - filled)
     sys.stderr.write(
-        f'\r[{progress}] {done}/{counts["total"]} {shown["status"]} '
+        f'\r[{progress}] {done}/{counts["total"]} {job_state["status"]} '
     )
 
 
@@ -118,5 +118,5 @@
         '/v1/files',
         body,
         Content_Type=content_type,
-    ) as reply:
-        return msgspec.json.decode(reply.read())
+    ) as response:
+        return msgspec.json.decode(response.read())
--- a/packages/bendlead-cli/src/bendlead_cli/_printing.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_printing.py
@@ -1,4 +1,4 @@
-"""Show what a command found, as text or as JSON."""
+"""Print results as text or JSON."""
 
 import json
 import sys
@@ -8,28 +8,28 @@
 
 
 class Output(Enum):
-    """Say how results are shown."""
+    """Format in which results are printed."""
 
     TEXT = 'text'
     JSON = 'json'
 
 
-def show(found: Any, output: Output) -> None:
-    """Print a result."""
+def show(result: Any, output: Output) -> None:
+    """Print a result: JSON, or a line for each field or element."""
     if output is Output.JSON:
-        say(json.dumps(found))
-    elif isinstance(found, dict):
-        for name, shown in found.items():
-            say(f'{name}: {_plain(shown)}')
-    elif isinstance(found, list):
-        for one in found:
-            say(_plain(one))
+        say(json.dumps(result))
+    elif isinstance(result, dict):
+        for name, content in result.items():
+            say(f'{name}: {_format_text(content)}')
+    elif isinstance(result, list):
+        for entry in result:
+            say(_format_text(entry))
     else:
-        say(str(found))
+        say(str(result))
 
 
 def table(rows: Sequence[Sequence[Any]]) -> None:
-    """Print rows in columns."""
+    """Print rows in aligned columns."""
     widths = [
         max(len(str(cell)) for cell in column)
         for column in zip(*rows, strict=True)
@@ -43,12 +43,12 @@
 
 
 def say(line: str) -> None:
-    """Print one line."""
+    """Print one line and flush it."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
 
-def _plain(shown: Any) -> str:
-    if isinstance(shown, (dict, list)):
-        return json.dumps(shown)
-    return str(shown)
+def _format_text(content: Any) -> str:
+    if isinstance(content, (dict, list)):
+        return json.dumps(content)
+    return str(content)
--- a/packages/bendlead-cli/src/bendlead_cli/_suspects.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_suspects.py
@@ -1,4 +1,4 @@
-"""Requests under which engines ended, as processes know them."""
+"""Requests that were running when engines crashed."""
 
 from collections.abc import Mapping, Sequence
 
@@ -7,33 +7,33 @@
 
 
 def suspects(addresses: list[str], *, output: Output = Output.TEXT) -> None:
-    """Show the digests of requests under which engines ended.
+    """Show the digests of requests running when engines crashed.
 
-    Addresses are the internal ones of gateway processes, IP:PORT. What a digest
-    stands for is on the lines of the requests that have it; from the third end
-    on a request is kept from engines.
+    Addresses are the internal ones of gateway processes, IP:PORT. The log
+    lines of a request have its digest. From the third crash on, a request is
+    in quarantine: it is sent to no engine.
     """
-    told = [
-        Connection(one, '').send('GET', '/debug/state').get('suspects', {})
-        for one in addresses
+    reports = [
+        Connection(address, '').send('GET', '/debug/state').get('suspects', {})
+        for address in addresses
     ]
-    found = most_ends(told)
+    merged = max_crashes(reports)
     if output is Output.JSON:
-        show(found, output)
+        show(merged, output)
         return
-    rows = [('digest', 'engines ended'), *found.items()]
+    rows = [('digest', 'engines ended'), *merged.items()]
     table(rows)
 
 
-def most_ends(told: Sequence[Mapping[str, int]]) -> dict[str, int]:
-    """Give the most ends that any process knows of, the most first."""
-    found: dict[str, int] = {}
-    for known in told:
-        for digest, ends in known.items():
-            found[digest] = max(ends, found.get(digest, 0))
-    ranked = sorted(found.items(), key=_ends, reverse=True)
-    return {digest: ends for digest, ends in ranked if ends}
+def max_crashes(reports: Sequence[Mapping[str, int]]) -> dict[str, int]:
+    """Return the highest crash count of each digest, highest first."""
+    merged: dict[str, int] = {}
+    for report in reports:
+        for digest, crashes in report.items():
+            merged[digest] = max(crashes, merged.get(digest, 0))
+    ranked = sorted(merged.items(), key=_crash_count, reverse=True)
+    return {digest: crashes for digest, crashes in ranked if crashes}
 
 
-def _ends(one: tuple[str, int]) -> int:
-    return one[1]
+def _crash_count(entry: tuple[str, int]) -> int:
+    return entry[1]
--- a/packages/bendlead-cli/src/bendlead_cli/_teams.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_teams.py
@@ -1,4 +1,4 @@
-"""What teams use of their limits, as entries know it."""
+"""Use of rate limits and shares by teams."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any
@@ -6,9 +6,9 @@
 from bendlead_cli._connection import Connection
 from bendlead_cli._printing import Output, show, table
 
-#: A team without a limit shows this in place of one.
+#: Placeholder for a team without a limit.
 _NO_LIMIT = '-'
-_HEAD = (
+_HEADER = (
     'team',
     'a second',
     'at once',
@@ -19,52 +19,61 @@
     'waiting',
     'no place',
 )
-#: What adds up over entries, and what all of them know nearly alike.
-_ADDED = ('passed_here', 'waiting', 'no_place')
-_SHARED = ('had', 'share')
+#: Counts of one entry each; they are added up.
+_SUMMED_FIELDS = ('passed_here', 'waiting', 'no_place')
+#: Values that entries know nearly alike; the highest is shown.
+_SHARE_FIELDS = ('had', 'share')
 
 
 def teams(addresses: list[str], *, output: Output = Output.TEXT) -> None:
     """Show what each team uses of its limit and share, over these entries.
 
-    Addresses are the internal ones, IP:PORT. An entry knows what all entries
-    that it hears let through; each of them tells what it let through itself.
+    Addresses are the internal ones, IP:PORT. An entry knows the use of all
+    entries that it receives reports from. Requests let through, waiting and
+    without a place are added up over the given entries.
     """
-    told = [
-        Connection(one, '').send('GET', '/debug/state').get('teams', {})
-        for one in addresses
+    reports = [
+        Connection(address, '').send('GET', '/debug/state').get('teams', {})
+        for address in addresses
     ]
-    found = gather(told)
+    merged = merge_reports(reports)
     if output is Output.JSON:
-        show(found, output)
+        show(merged, output)
         return
-    rows = [_HEAD]
-    rows += [_row(name, one) for name, one in sorted(found.items())]
+    rows = [_HEADER]
+    rows += [_team_row(name, usage) for name, usage in sorted(merged.items())]
     table(rows)
 
 
-def gather(told: Sequence[Mapping[str, Any]]) -> dict[str, dict[str, float]]:
-    """Bring together what entries told of each team.
+def merge_reports(
+    reports: Sequence[Mapping[str, Any]],
+) -> dict[str, dict[str, float]]:
+    """Merge the usage of each team that entries report.
 
-    All know the same limit and nearly the same level, so the highest counts;
-    what they let through, hold and refused adds up.
+    All entries know the same limit and nearly the same level and share, so the
+    highest is used. Counts of admitted, queued and rejected requests are
+    added up.
     """
-    found: dict[str, dict[str, float]] = {}
-    for entry in told:
-        for name, one in entry.items():
-            known = found.setdefault(name, {**one, **dict.fromkeys(_ADDED, 0)})
-            known['level'] = max(known['level'], one['level'])
-            for added in _ADDED:
-                known[added] += one.get(added, 0)
-            for shared in _SHARED:
-                if shared in one:
-                    known[shared] = max(known.get(shared, 0), one[shared])
-    return found
+    merged: dict[str, dict[str, float]] = {}
+    for report in reports:
+        for name, usage in report.items():
+            total = merged.setdefault(
+                name, {**usage, **dict.fromkeys(_SUMMED_FIELDS, 0)}
+            )
+            total['level'] = max(total['level'], usage['level'])
+            for summed_field in _SUMMED_FIELDS:
+                total[summed_field] += usage.get(summed_field, 0)
+            for share_field in _SHARE_FIELDS:
+                if share_field in usage:
+                    total[share_field] = max(
+                        total.get(share_field, 0), usage[share_field]
+                    )
+    return merged
 
 
-def _row(name: str, one: Mapping[str, float]) -> tuple[Any, ...]:
-    rate = one['rate'] or _NO_LIMIT
-    shares = (one.get('had', 0), one.get('share', _NO_LIMIT))
-    held = (one['waiting'], one['no_place'])
-    used = (one['burst'], one['level'], one['passed_here'])
-    return name, rate, *used, *shares, *held
+def _team_row(name: str, usage: Mapping[str, float]) -> tuple[Any, ...]:
+    rate = usage['rate'] or _NO_LIMIT
+    shares = (usage.get('had', 0), usage.get('share', _NO_LIMIT))
+    queued = (usage['waiting'], usage['no_place'])
+    used = (usage['burst'], usage['level'], usage['passed_here'])
+    return name, rate, *used, *shares, *queued
--- a/packages/bendlead-cli/src/bendlead_cli/main.py
+++ b/packages/bendlead-cli/src/bendlead_cli/main.py
@@ -1,4 +1,4 @@
-"""The bendlead command: its subcommands and their parsing."""
+"""Entry point of the bendlead command and its subcommands."""
 
 import json
 import sys
@@ -27,9 +27,9 @@
         'stream': True,
     }
     for line in connect().lines('POST', '/v1/chat/completions', body):
-        shown = line.strip().removeprefix(_DATA_FIELD)
-        if line.startswith(_DATA_FIELD) and shown != _DONE:
-            choices = json.loads(shown).get('choices', ())
+        payload = line.strip().removeprefix(_DATA_FIELD)
+        if line.startswith(_DATA_FIELD) and payload != _DONE:
+            choices = json.loads(payload).get('choices', ())
             for choice in choices:
                 sys.stdout.write(choice['delta'].get('content') or '')
                 sys.stdout.flush()
@@ -47,7 +47,7 @@
     output: Output = Output.TEXT,
 ) -> None:
     """Send open-loop load (requests a second) and report latencies in ms."""
-    # The load loop needs gevent, which the other commands do without.
+    # Only this command needs gevent, so the others start without it.
     from gevent import monkey  # noqa: PLC0415
 
     monkey.patch_all()
--- a/tests/test_cli_suspects.py
+++ b/tests/test_cli_suspects.py
@@ -1,4 +1,4 @@
-"""What operators see of requests under which engines ended."""
+"""Tests of `bendlead suspects`."""
 
 import io
 import unittest
@@ -9,10 +9,10 @@
 from bendlead_cli._explain import find_lines
 from bendlead_cli._printing import Output
 
-_KNOWN = {
+_CRASH_COUNTS = {
     'one:1': {'d1': 2, 'd2': 1, 'd3': 0},
     'two:2': {'d1': 3},
-    # A process of an earlier version tells nothing of them.
+    # A process of an earlier version reports none.
     'three:3': None,
 }
 _LOG = (
@@ -24,24 +24,24 @@
 
 
 class SuspectsTest(unittest.TestCase):
-    """`bendlead suspects` over some processes, and `bendlead explain`."""
+    """`bendlead suspects` for three processes, and `bendlead explain`."""
 
     def run_command(self, output):
-        """Give what the command prints."""
+        """Return what the command prints."""
 
         def send(connection, _method, _path):
-            known = _KNOWN[connection.entry]
-            return {} if known is None else {'suspects': known}
+            counts = _CRASH_COUNTS[connection.entry]
+            return {} if counts is None else {'suspects': counts}
 
         printed = io.StringIO()
         with (
             redirect_stdout(printed),
             mock.patch.object(_suspects.Connection, 'send', send),
         ):
-            _suspects.suspects(list(_KNOWN), output=output)
+            _suspects.suspects(list(_CRASH_COUNTS), output=output)
         return printed.getvalue()
 
-    def test_most_ends_first_and_none_without(self):
+    def test_most_crashes_first_and_none_without(self):
         lines = self.run_command(Output.TEXT).splitlines()
         self.assertEqual(['d1', '3'], lines[1].split())
         self.assertEqual(['d2', '1'], lines[2].split())
@@ -50,6 +50,6 @@
     def test_json(self):
         self.assertIn('"d1": 3', self.run_command(Output.JSON))
 
-    def test_digest_is_explained_over_all_attempts(self):
-        found = [line.event for line in find_lines(_LOG, 'd1')]
-        self.assertEqual(['request', 'engine-ended', 'request'], found)
+    def test_digest_matches_all_attempts(self):
+        events = [line.event for line in find_lines(_LOG, 'd1')]
+        self.assertEqual(['request', 'engine-ended', 'request'], events)
--- a/tests/test_cli_teams.py
+++ b/tests/test_cli_teams.py
@@ -1,4 +1,4 @@
-"""What operators see of the limits of teams."""
+"""Tests of `bendlead teams` and of metrics by team."""
 
 import io
 import unittest
@@ -39,10 +39,10 @@
 
 
 class TeamsTest(unittest.TestCase):
-    """`bendlead teams` over two entries."""
+    """`bendlead teams` for two entries."""
 
     def run_command(self, output):
-        """Give what the command prints."""
+        """Return what the command prints."""
 
         def send(connection, _method, _path):
             return {'teams': _ENTRIES[connection.entry]}
@@ -55,9 +55,9 @@
             _teams.teams(list(_ENTRIES), output=output)
         return printed.getvalue()
 
-    def test_levels_are_the_highest_and_counts_add_up(self):
+    def test_highest_level_and_sum_of_counts(self):
         lines = self.run_command(Output.TEXT).splitlines()
-        # Where an entry tells nothing of shares, there is no share.
+        # The entry reports no share of this team.
         self.assertEqual(
             ['a', '-', '0', '0', '2', '0', '-', '0', '0'], lines[1].split()
         )
@@ -71,11 +71,13 @@
 
 
 class TeamMetricsTest(unittest.TestCase):
-    """Series by team are bounded, and nothing is lost of the sum."""
+    """The number of series is bounded, and their sum is complete."""
 
-    def test_the_busiest_teams_and_all_others(self):
+    def test_busiest_teams_and_the_sum_of_others(self):
         metrics = Metrics()
-        metrics.over_limit.update({f't{at}': at + 1 for at in range(200)})
+        metrics.over_limit.update(
+            {f't{number}': number + 1 for number in range(200)}
+        )
         page = metrics.page().decode()
         lines = [
             line
