--- a/packages/bendlead-cli/src/bendlead_cli/_explain.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_explain.py
@@ -1,4 +1,4 @@
-"""Find out from log lines what became of a request, an item or a job."""
+"""Collect the log lines of a request, an item or a job."""
 
 import sys
 from collections import deque
@@ -8,15 +8,16 @@
 from bendlead_cli._log_files import STANDARD_INPUT, log_lines
 from bendlead_cli._printing import say
 
-#: How much before and after its own lines (s) others may explain a request.
-_BEFORE_SECONDS = 3.0
-_AFTER_SECONDS = 0.5
-_IN_FORCE = 'config-in-force'
-#: Events that change what a process believes, and whom they concern.
-_CONTEXT = frozenset(
+#: Context events are shown from this long before the first matching line
+#: until this long after the last one.
+_CONTEXT_BEFORE_SECONDS = 3.0
+_CONTEXT_AFTER_SECONDS = 0.5
+_CONFIGURATION_EVENT = 'config-in-force'
+#: Events that change the state of a process, such as its view of the fleet.
+_CONTEXT_EVENTS = frozenset(
     (
         'clients-refused',
-        _IN_FORCE,
+        _CONFIGURATION_EVENT,
         'config-not-passed-on',
         'engine-born-again',
         'engine-ended',
@@ -39,91 +40,92 @@
         'watch-regained',
     ),
 )
-_SUBJECTS = ('request', 'job', 'item', 'belongs_to', 'digest')
-#: Names several digests, parted by commas.
-_DIGESTS = 'digests'
+_ID_FIELDS = ('request', 'job', 'item', 'belongs_to', 'digest')
+#: Holds several digests, separated by commas.
+_DIGESTS_FIELD = 'digests'
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold one line of a log, taken apart."""
+    """A parsed line of a log."""
 
     raw: str
     fields: dict[str, str]
 
     @property
-    def moment(self) -> float:
-        """Give the time of the line in Unix seconds."""
+    def timestamp(self) -> float:
+        """Time of the line in Unix seconds."""
         return float(self.fields.get('time', 0))
 
     @property
     def event(self) -> str:
-        """Give the name of the event."""
+        """Name of the event, or an empty string."""
         return self.fields.get('event', '')
 
-    def concerns(self, name: str) -> bool:
-        """Tell whether the line is about a request, an item or a job.
+    def is_about(self, name: str) -> bool:
+        """Return whether the line has this id or digest.
 
-        A digest names a request over all attempts of its caller.
+        A digest is the same for all retries of a request by its caller.
         """
-        if name in self.fields.get(_DIGESTS, '').split(','):
+        if name in self.fields.get(_DIGESTS_FIELD, '').split(','):
             return True
-        return any(self.fields.get(subject) == name for subject in _SUBJECTS)
+        return any(self.fields.get(id_field) == name for id_field in _ID_FIELDS)
 
-    def shares(self, own: Iterable['LogLine']) -> bool:
-        """Tell whether the line is about an engine or node of others."""
+    def shares_source(self, lines: Iterable['LogLine']) -> bool:
+        """Return whether any of the lines has the same engine or node."""
         engine = self.fields.get('engine')
         node = self.fields.get('node')
         return any(
-            engine == one.fields.get('engine')
+            engine == other.fields.get('engine')
             if engine
-            else node == one.fields.get('node')
-            for one in own
+            else node == other.fields.get('node')
+            for other in lines
         )
 
 
-def read_line(raw: str) -> LogLine | None:
-    """Take a line apart, or nothing where it is no event."""
+def parse_line(raw: str) -> LogLine | None:
+    """Parse a line; return None if it holds no event."""
     start = raw.find('time=')
     if start < 0:
         return None
-    fields = dict(_pairs(raw[start:].rstrip('\n')))
+    fields = dict(_parse_fields(raw[start:].rstrip('\n')))
     return LogLine(raw.rstrip('\n'), fields) if 'event' in fields else None
 
 
 def find_lines(lines: Iterable[str], name: str) -> list[LogLine]:
-    """Find the lines about a name and those that may explain them."""
-    events = [line for line in map(read_line, lines) if line]
-    own = [line for line in events if line.concerns(name)]
-    if not own:
+    """Return the lines about an id and their context, in order of time."""
+    events = [line for line in map(parse_line, lines) if line]
+    matching = [line for line in events if line.is_about(name)]
+    if not matching:
         return []
-    first = min(line.moment for line in own) - _BEFORE_SECONDS
-    last = max(line.moment for line in own) + _AFTER_SECONDS
-    waiting = deque(_versions_before(events, own, first))
+    first = min(line.timestamp for line in matching) - _CONTEXT_BEFORE_SECONDS
+    last = max(line.timestamp for line in matching) + _CONTEXT_AFTER_SECONDS
+    selected = deque(_active_configurations(events, matching, first))
     for line in events:
-        if line.concerns(name):
-            waiting.append(line)
-        elif line.event in _CONTEXT and first <= line.moment <= last:
-            if line.shares(own):
-                waiting.append(line)
-    return sorted(waiting, key=lambda line: line.moment)
+        if line.is_about(name):
+            selected.append(line)
+        elif line.event in _CONTEXT_EVENTS and first <= line.timestamp <= last:
+            if line.shares_source(matching):
+                selected.append(line)
+    return sorted(selected, key=lambda line: line.timestamp)
 
 
-def _versions_before(
-    events: Iterable[LogLine], own: Sequence[LogLine], first: float
+def _active_configurations(
+    events: Iterable[LogLine], matching: Sequence[LogLine], first: float
 ) -> Iterable[LogLine]:
-    """Find the configuration that each node had in force before a moment.
+    """Return the latest configuration event of each node before a time.
 
-    It may have come long before, and decides who is let in and where to.
+    It may be much older than the context, and decides authentication and
+    routing.
     """
-    nodes = {line.fields.get('node') for line in own}
-    newest: dict[str | None, LogLine] = {}
+    nodes = {line.fields.get('node') for line in matching}
+    latest: dict[str | None, LogLine] = {}
     for line in events:
         node = line.fields.get('node')
-        told = line.event == _IN_FORCE and node in nodes
-        if told and line.moment < first:
-            newest[node] = line
-    return newest.values()
+        activated = line.event == _CONFIGURATION_EVENT and node in nodes
+        if activated and line.timestamp < first:
+            latest[node] = line
+    return latest.values()
 
 
 def explain(name: str, *, log: Sequence[str] = (STANDARD_INPUT,)) -> None:
@@ -137,17 +139,17 @@
         say(f'no line names {name}; is this the log of every node it met?')
         sys.exit(1)
     for line in found:
-        mark = '>' if line.concerns(name) else ' '
+        mark = '>' if line.is_about(name) else ' '
         say(f'{mark} {line.raw}')
 
 
-def _pairs(text: str) -> Iterator[tuple[str, str]]:
-    """Yield the key=value pairs of a line; values may stand in quotes."""
-    rest = text
-    while '=' in rest:
-        name, _equals, rest = rest.partition('=')
-        if rest.startswith('"'):
-            shown, _quote, rest = rest[1:].partition('"')
+def _parse_fields(text: str) -> Iterator[tuple[str, str]]:
+    """Yield the key=value pairs of a line; values may be quoted."""
+    remainder = text
+    while '=' in remainder:
+        name, _equals, remainder = remainder.partition('=')
+        if remainder.startswith('"'):
+            field_text, _quote, remainder = remainder[1:].partition('"')
         else:
-            shown, _blank, rest = rest.partition(' ')
-        yield name.strip(), shown
+            field_text, _blank, remainder = remainder.partition(' ')
+        yield name.strip(), field_text
--- a/packages/bendlead-cli/src/bendlead_cli/_late.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_late.py
@@ -1,4 +1,4 @@
-"""Count from log lines why online requests were not answered in time."""
+"""Classify online requests that missed their latency target, from logs."""
 
 from bisect import bisect_left, bisect_right
 from collections import Counter, defaultdict
@@ -6,25 +6,25 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from bendlead_cli._explain import LogLine, read_line
-from bendlead_cli._late_groups import Ending, Group, GroupCounts, count_groups
+from bendlead_cli._explain import LogLine, parse_line
+from bendlead_cli._late_groups import Group, GroupCounts, Outcome, count_groups
 from bendlead_cli._log_files import STANDARD_INPUT, log_lines
 from bendlead_cli._printing import say, table
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _OK = 200
 _REFUSED = 503
 
 
 class Cause(Enum):
-    """Say how a try ended, and what made it late if it was."""
+    """Result of an attempt, and the cause if it was late."""
 
     IN_TIME = 'in time'
-    RETURNED = 'refused before, answered when it came back'
-    REPLACED = 'an engine was silent or refused, another one answered'
+    SERVED_ON_RETRY = 'refused before, answered when it came back'
+    FAILED_OVER = 'an engine was silent or refused, another one answered'
     SEEN_FULL = 'its engine was full, and seen to be'
     UNSEEN_FULL = 'its engine was full, and not seen to be'
-    BEHIND_ITEMS = 'its engine was full with items'
+    FULL_WITH_ITEMS = 'its engine was full with items'
     SLOW = 'its engine had places'
     REFUSED = 'refused'
     FAILED = 'failed or broken off'
@@ -32,31 +32,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OnlineTry:
-    """Hold what an entry told of one try of a request; times in seconds."""
+class OnlineAttempt:
+    """One attempt of a request as logged by an entry; times in seconds."""
 
     request: str
     engine: str
-    begun: float
-    ended: float
-    first: float
+    started_at: float
+    ended_at: float
+    first_event_seconds: float
     status: int
     answered: bool
     sends: int
-    online_seen: int
-    batch_seen: int
+    online_runs_seen: int
+    item_runs_seen: int
 
     @classmethod
-    def read(cls, line: LogLine) -> 'OnlineTry':
-        """Read it from a line; fields that say nothing are left out there."""
+    def parse(cls, line: LogLine) -> 'OnlineAttempt':
+        """Parse a log line, which leaves out fields with default values.
+
+        Raise ValueError if a field is not a number.
+        """
         fields = line.fields
-        ended = line.moment
+        ended_at = line.timestamp
         return cls(
             fields.get('request', ''),
             fields.get('engine', ''),
-            ended - float(fields.get('total_ms', 0)) / _MS,
-            ended,
-            float(fields.get('first_ms', 0)) / _MS,
+            ended_at - float(fields.get('total_ms', 0)) / _MS_PER_SECOND,
+            ended_at,
+            float(fields.get('first_ms', 0)) / _MS_PER_SECOND,
             int(fields.get('status', 0)),
             fields.get('outcome') == 'answered',
             int(fields.get('sends', 1)),
@@ -66,44 +69,59 @@
 
 
 class EngineRuns:
-    """Tell how many requests ran on each engine, by the lines of entries."""
-
-    def __init__(self, tries: Iterable[OnlineTry]) -> None:
-        self._begins: dict[str, list[float]] = defaultdict(list)
-        self._ends: dict[str, list[float]] = defaultdict(list)
-        for one in tries:
-            self._begins[one.engine].append(one.begun)
-            self._ends[one.engine].append(one.ended)
-        for moments in (*self._begins.values(), *self._ends.values()):
-            moments.sort()
-
-    def before(self, one: OnlineTry) -> int:
-        """Count the requests that ran on its engine when a try began."""
-        begun = bisect_left(self._begins[one.engine], one.begun)
-        return begun - bisect_right(self._ends[one.engine], one.begun)
+    """Times at which requests started and ended on each engine."""
+
+    def __init__(self, attempts: Iterable[OnlineAttempt]) -> None:
+        self._start_times: dict[str, list[float]] = defaultdict(list)
+        self._end_times: dict[str, list[float]] = defaultdict(list)
+        for attempt in attempts:
+            self._start_times[attempt.engine].append(attempt.started_at)
+            self._end_times[attempt.engine].append(attempt.ended_at)
+        for times in (*self._start_times.values(), *self._end_times.values()):
+            times.sort()
+
+    def running_at_start(self, attempt: OnlineAttempt) -> int:
+        """Count the requests on the attempt's engine when it started."""
+        started = bisect_left(
+            self._start_times[attempt.engine], attempt.started_at
+        )
+        return started - bisect_right(
+            self._end_times[attempt.engine], attempt.started_at
+        )
 
 
 def count_causes(
-    lines: Iterable[str], aim: float, places: int
+    lines: Iterable[str], latency_target: float, slots: int
 ) -> Counter[Cause]:
-    """Count the tries of requests by cause, for an aim in seconds."""
-    events = map(read_line, lines)
-    told = [one for one in events if one and one.event == 'request']
-    read = [one for one in map(_read_try, told) if one]
-    tries = sorted(read, key=_begin)
-    runs = EngineRuns(one for one in tries if one.status != _REFUSED)
+    """Count attempts by cause, for a latency target in seconds."""
+    events = map(parse_line, lines)
+    request_lines = [
+        line for line in events if line and line.event == 'request'
+    ]
+    parsed = [
+        attempt for attempt in map(_parse_attempt, request_lines) if attempt
+    ]
+    attempts = sorted(parsed, key=_started_at)
+    engine_runs = EngineRuns(
+        attempt for attempt in attempts if attempt.status != _REFUSED
+    )
     refused: set[str] = set()
-    causes: Counter[Cause] = Counter()
-    if len(read) < len(told):
-        causes[Cause.UNREADABLE] = len(told) - len(read)
-    for one in tries:
-        cause = _ending(one, refused)
-        if cause is Cause.IN_TIME and one.first > aim:
-            cause = _reason(one, runs.before(one), places)
+    counts: Counter[Cause] = Counter()
+    if len(parsed) < len(request_lines):
+        counts[Cause.UNREADABLE] = len(request_lines) - len(parsed)
+    for attempt in attempts:
+        cause = _response_cause(attempt, refused)
+        if (
+            cause is Cause.IN_TIME
+            and attempt.first_event_seconds > latency_target
+        ):
+            cause = _late_cause(
+                attempt, engine_runs.running_at_start(attempt), slots
+            )
         if cause is Cause.REFUSED:
-            refused.add(one.request)
-        causes[cause] += 1
-    return causes
+            refused.add(attempt.request)
+        counts[cause] += 1
+    return counts
 
 
 def late(
@@ -123,53 +141,57 @@
     :param rows: groups shown at most
     """
     if by is not Group.CAUSE:
-        found = count_groups(log_lines(log), by, aim_ms / _MS)
-        _show_groups(by, found[:rows])
+        groups = count_groups(log_lines(log), by, aim_ms / _MS_PER_SECOND)
+        _show_groups(by, groups[:rows])
         return
-    causes = count_causes(log_lines(log), aim_ms / _MS, places)
-    whole = max(1, causes.total())
+    counts = count_causes(log_lines(log), aim_ms / _MS_PER_SECOND, places)
+    total = max(1, counts.total())
     for cause in Cause:
-        count = causes[cause]
-        say(f'{count:8}  {count / whole:6.3f}  {cause.value}')
-
-
-def _show_groups(by: Group, found: Sequence[GroupCounts]) -> None:
-    rows = [(by.value, 'tries', 'served', *(one.value for one in Ending))]
-    for one in found:
-        served = 1 - one.unserved / one.tries
-        counts = [str(one.endings[ending]) for ending in Ending]
-        rows.append((one.name, str(one.tries), f'{served:.3f}', *counts))
+        count = counts[cause]
+        say(f'{count:8}  {count / total:6.3f}  {cause.value}')
+
+
+def _show_groups(by: Group, groups: Sequence[GroupCounts]) -> None:
+    rows = [
+        (by.value, 'tries', 'served', *(outcome.value for outcome in Outcome))
+    ]
+    for group in groups:
+        served = 1 - group.unserved / group.attempts
+        counts = [str(group.outcomes[outcome]) for outcome in Outcome]
+        rows.append((group.name, str(group.attempts), f'{served:.3f}', *counts))
     table(rows)
 
 
-def _read_try(line: LogLine) -> OnlineTry | None:
+def _parse_attempt(line: LogLine) -> OnlineAttempt | None:
     try:
-        return OnlineTry.read(line)
+        return OnlineAttempt.parse(line)
     except ValueError:
-        # The file ends within the line, or two writers shared it.
+        # A truncated line, or one interleaved with another writer's.
         return None
 
 
-def _begin(one: OnlineTry) -> float:
-    return one.begun
+def _started_at(attempt: OnlineAttempt) -> float:
+    return attempt.started_at
 
 
-def _ending(one: OnlineTry, refused: set[str]) -> Cause:
-    if one.status == _REFUSED:
+def _response_cause(attempt: OnlineAttempt, refused: set[str]) -> Cause:
+    if attempt.status == _REFUSED:
         return Cause.REFUSED
-    if one.status != _OK or not one.answered:
+    if attempt.status != _OK or not attempt.answered:
         return Cause.FAILED
-    return Cause.RETURNED if one.request in refused else Cause.IN_TIME
+    return (
+        Cause.SERVED_ON_RETRY if attempt.request in refused else Cause.IN_TIME
+    )
 
 
-def _reason(one: OnlineTry, running: int, places: int) -> Cause:
-    """Tell why the first event came late on an engine with so many places."""
-    if one.sends > 1:
-        return Cause.REPLACED
-    if one.online_seen >= places:
+def _late_cause(attempt: OnlineAttempt, running: int, slots: int) -> Cause:
+    """Return why the first event was late on an engine with these slots."""
+    if attempt.sends > 1:
+        return Cause.FAILED_OVER
+    if attempt.online_runs_seen >= slots:
         return Cause.SEEN_FULL
-    if running >= places:
+    if running >= slots:
         return Cause.UNSEEN_FULL
-    if running + one.batch_seen >= places:
-        return Cause.BEHIND_ITEMS
+    if running + attempt.item_runs_seen >= slots:
+        return Cause.FULL_WITH_ITEMS
     return Cause.SLOW
--- a/packages/bendlead-cli/src/bendlead_cli/_late_groups.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_late_groups.py
@@ -1,32 +1,32 @@
-"""Count from log lines who was served and who was not, by a common trait."""
+"""Count the outcomes of online requests by group, from logs."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from enum import Enum
 
-from bendlead_cli._explain import LogLine, read_line
+from bendlead_cli._explain import LogLine, parse_line
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 _OK = '200'
 _REFUSED = '503'
 _UNKNOWN = '-'
 
 
 class Group(Enum):
-    """Name what the tries of requests are told apart by."""
+    """Attribute by which requests are grouped."""
 
     CAUSE = 'cause'
     TEAM = 'team'
     ROUTE = 'route'
     ENGINE = 'engine'
-    #: The data hall of the entry, which is its callers'.
+    #: The data hall of the entry; its callers are in the same one.
     HALL = 'hall'
     SECOND = 'second'
 
 
-class Ending(Enum):
-    """Say what came of a try."""
+class Outcome(Enum):
+    """Outcome of one attempt of a request."""
 
     IN_TIME = 'in time'
     LATE = 'late'
@@ -37,62 +37,67 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupCounts:
-    """Count the tries of one group by what came of them."""
+    """Attempts of one group by outcome."""
 
     name: str
-    endings: Mapping[Ending, int]
+    outcomes: Mapping[Outcome, int]
 
     @property
-    def tries(self) -> int:
-        """Count all tries."""
-        return sum(self.endings.values())
+    def attempts(self) -> int:
+        """Number of all attempts."""
+        return sum(self.outcomes.values())
 
     @property
     def unserved(self) -> int:
-        """Count the tries without a whole answer."""
-        served = self.endings[Ending.IN_TIME] + self.endings[Ending.LATE]
-        return self.tries - served
+        """Number of attempts without a complete response."""
+        served = self.outcomes[Outcome.IN_TIME] + self.outcomes[Outcome.LATE]
+        return self.attempts - served
 
 
 def count_groups(
-    lines: Iterable[str], group: Group, aim: float
+    lines: Iterable[str], group: Group, latency_target: float
 ) -> Sequence[GroupCounts]:
-    """Count tries by group, for an aim in seconds; most unserved first."""
+    """Count outcomes by group, for a latency target in seconds.
+
+    Groups are sorted by time, or by unserved attempts, most first.
+    """
     halls: dict[str, str] = {}
-    counts: dict[str, Counter[Ending]] = {}
-    for line in map(read_line, lines):
+    counts: dict[str, Counter[Outcome]] = {}
+    for line in map(parse_line, lines):
         if line is None:
             continue
         fields = line.fields
         if line.event == 'start':
             halls[fields.get('node', '')] = fields.get('hall', _UNKNOWN)
-        ending = _ending(line, aim)
-        if ending is not None:
-            name = _name(line, group, halls)
-            counts.setdefault(name, Counter())[ending] += 1
-    found = [GroupCounts(name, endings) for name, endings in counts.items()]
+        outcome = _outcome(line, latency_target)
+        if outcome is not None:
+            name = _group_name(line, group, halls)
+            counts.setdefault(name, Counter())[outcome] += 1
+    groups = [GroupCounts(name, outcomes) for name, outcomes in counts.items()]
     if group is Group.SECOND:
-        return sorted(found, key=lambda one: float(one.name))
-    return sorted(found, key=lambda one: (-one.unserved, one.name))
+        return sorted(groups, key=lambda counted: float(counted.name))
+    return sorted(groups, key=lambda counted: (-counted.unserved, counted.name))
 
 
-def _ending(line: LogLine, aim: float) -> Ending | None:
+def _outcome(line: LogLine, latency_target: float) -> Outcome | None:
     if line.event == 'over-limit':
-        return Ending.OVER_LIMIT
+        return Outcome.OVER_LIMIT
     if line.event != 'request':
         return None
     fields = line.fields
     if fields.get('status') == _REFUSED:
-        return Ending.REFUSED
+        return Outcome.REFUSED
     if fields.get('status') != _OK or fields.get('outcome') != 'answered':
-        return Ending.FAILED
-    in_time = float(fields.get('first_ms', 0)) <= aim * _MS
-    return Ending.IN_TIME if in_time else Ending.LATE
+        return Outcome.FAILED
+    in_time = (
+        float(fields.get('first_ms', 0)) <= latency_target * _MS_PER_SECOND
+    )
+    return Outcome.IN_TIME if in_time else Outcome.LATE
 
 
-def _name(line: LogLine, group: Group, halls: Mapping[str, str]) -> str:
+def _group_name(line: LogLine, group: Group, halls: Mapping[str, str]) -> str:
     if group is Group.SECOND:
-        return str(int(line.moment))
+        return str(int(line.timestamp))
     if group is Group.HALL:
         return halls.get(line.fields.get('node', ''), _UNKNOWN)
     return line.fields.get(group.value, _UNKNOWN)
--- a/packages/bendlead-cli/src/bendlead_cli/_log_files.py
+++ b/packages/bendlead-cli/src/bendlead_cli/_log_files.py
@@ -1,4 +1,4 @@
-"""Lines of logs, from files or standard input."""
+"""Read log lines from files or standard input."""
 
 import sys
 from collections.abc import Iterator, Sequence
@@ -7,7 +7,7 @@
 
 
 def log_lines(paths: Sequence[str]) -> Iterator[str]:
-    """Give the lines of each file; what is no text is shown as a mark."""
+    """Yield the lines of each file, with invalid UTF-8 replaced."""
     for path in paths:
         if path == STANDARD_INPUT:
             yield from sys.stdin
--- a/tests/test_cli_explain.py
+++ b/tests/test_cli_explain.py
@@ -1,8 +1,8 @@
-"""What bendlead explain finds in a log."""
+"""Tests of `bendlead explain`."""
 
 import unittest
 
-from bendlead_cli._explain import find_lines, read_line
+from bendlead_cli._explain import find_lines, parse_line
 from parameterized import parameterized
 
 _EVENTS = (
@@ -20,8 +20,8 @@
 _LOG = [f' 1.0 n1 {event}' for event in _EVENTS]
 
 
-class ReadLineTest(unittest.TestCase):
-    """Lines are taken apart."""
+class ParseLineTest(unittest.TestCase):
+    """Parsing of log lines."""
 
     @parameterized.expand(
         [
@@ -39,15 +39,15 @@
         ],
     )
     def test_fields(self, _name, raw, expected):
-        self.assertEqual(expected, read_line(raw).fields)
+        self.assertEqual(expected, parse_line(raw).fields)
 
     @parameterized.expand([('empty', ''), ('no_event', 'time=1 node=n1')])
     def test_no_event(self, _name, raw):
-        self.assertIsNone(read_line(raw))
+        self.assertIsNone(parse_line(raw))
 
 
 class FindLinesTest(unittest.TestCase):
-    """The lines about a request come with those that may explain them."""
+    """Lines about a request and their context."""
 
     @parameterized.expand(
         [
@@ -65,6 +65,6 @@
         found = find_lines(_LOG, request)
         self.assertEqual(expected, [line.event for line in found])
 
-    def test_the_newest_version_before_is_shown_however_old(self):
+    def test_latest_earlier_configuration_is_shown(self):
         found = find_lines(_LOG, 'r3')
         self.assertEqual('2', found[0].fields['version'])
--- a/tests/test_cli_late.py
+++ b/tests/test_cli_late.py
@@ -1,13 +1,13 @@
-"""What bendlead late counts in the logs of entries."""
+"""Tests of `bendlead late`."""
 
 import unittest
 
 from bendlead_cli._late import Cause, count_causes
-from bendlead_cli._late_groups import Ending, Group, count_groups
+from bendlead_cli._late_groups import Group, Outcome, count_groups
 from parameterized import parameterized
 
-_AIM = 0.3
-_PLACES = 2
+_LATENCY_TARGET_SECONDS = 0.3
+_SLOTS = 2
 _LINE = (
     'time={ended} event=request node=n1 request={request} engine=i-1 '
     'outcome={outcome} status={status} online_seen={online} '
@@ -15,51 +15,55 @@
 )
 
 
-def _line(request, begun, total, first=50, **told):
-    """Write the line of one request; begun and total are in ms."""
-    found = {
+def _line(request, start_ms, total_ms, first_ms=50, **overrides):
+    """Return the log line of one request."""
+    line_fields = {
         'outcome': 'answered',
         'status': 200,
         'online': 0,
         'batch': 0,
         'more': '',
-        **told,
+        **overrides,
     }
-    ended = (begun + total) / 1000
+    ended = (start_ms + total_ms) / 1000
     return _LINE.format(
-        ended=ended, request=request, first=first, total=total, **found
+        ended=ended,
+        request=request,
+        first=first_ms,
+        total=total_ms,
+        **line_fields,
     )
 
 
-#: Two requests that keep both places of the engine for the first second.
-_BUSY = [_line('a', 0, 1000), _line('b', 10, 1000)]
+#: Two requests that fill both slots of the engine for the first second.
+_FULL_ENGINE = [_line('a', 0, 1000), _line('b', 10, 1000)]
 _CASES = [
     ('in_time', [_line('r', 1100, 700)], {Cause.IN_TIME: 1}),
     ('slow', [_line('r', 1100, 700, 400)], {Cause.SLOW: 1}),
     (
         'full_unseen',
-        [*_BUSY, _line('r', 100, 700, 400)],
+        [*_FULL_ENGINE, _line('r', 100, 700, 400)],
         {Cause.IN_TIME: 2, Cause.UNSEEN_FULL: 1},
     ),
     (
         'full_seen',
-        [*_BUSY, _line('r', 100, 700, 400, online=2)],
+        [*_FULL_ENGINE, _line('r', 100, 700, 400, online=2)],
         {Cause.IN_TIME: 2, Cause.SEEN_FULL: 1},
     ),
     (
         'full_with_items',
-        [_BUSY[0], _line('r', 100, 700, 400, batch=1)],
-        {Cause.IN_TIME: 1, Cause.BEHIND_ITEMS: 1},
+        [_FULL_ENGINE[0], _line('r', 100, 700, 400, batch=1)],
+        {Cause.IN_TIME: 1, Cause.FULL_WITH_ITEMS: 1},
     ),
     (
         'others_have_ended',
-        [*_BUSY, _line('r', 1100, 700, 400)],
+        [*_FULL_ENGINE, _line('r', 1100, 700, 400)],
         {Cause.IN_TIME: 2, Cause.SLOW: 1},
     ),
     (
         'replaced',
         [_line('r', 0, 700, 400, more='sends=2')],
-        {Cause.REPLACED: 1},
+        {Cause.FAILED_OVER: 1},
     ),
     (
         'refused_and_returned',
@@ -67,7 +71,7 @@
             _line('r', 500, 700),
             _line('r', 0, 1, 0, outcome='refused', status=503),
         ],
-        {Cause.REFUSED: 1, Cause.RETURNED: 1},
+        {Cause.REFUSED: 1, Cause.SERVED_ON_RETRY: 1},
     ),
     (
         'failed',
@@ -89,17 +93,19 @@
 
 
 class CountCausesTest(unittest.TestCase):
-    """An engine of two places, and the lines of all its requests."""
+    """Causes of late requests on an engine with two slots."""
 
     @parameterized.expand(_CASES)
     def test_causes(self, _name, lines, expected):
-        counted = count_causes(lines, _AIM, _PLACES)
+        counted = count_causes(lines, _LATENCY_TARGET_SECONDS, _SLOTS)
         self.assertEqual(expected, dict(counted))
 
-    def test_lines_that_leave_fields_out(self):
-        """Entries leave out what most requests have in common."""
+    def test_default_fields_are_omitted(self):
+        """Entries omit fields with default values."""
         line = 'time=2.0 event=request node=n1 request=r outcome=refused'
-        counted = count_causes([f'{line} status=503'], _AIM, _PLACES)
+        counted = count_causes(
+            [f'{line} status=503'], _LATENCY_TARGET_SECONDS, _SLOTS
+        )
         self.assertEqual({Cause.REFUSED: 1}, dict(counted))
 
 
@@ -107,8 +113,8 @@
     unittest.main()
 
 
-#: One try of each ending, from two teams at entries of two data halls.
-_MIXED = [
+#: One attempt of each outcome, by two teams at entries in two data halls.
+_TWO_TEAMS = [
     'time=1 event=start node=n1 role=entry hall=near',
     'time=1 event=start node=n2 role=entry hall=far',
     _line('a', 2000, 100, more='team=large route=r-1'),
@@ -135,52 +141,57 @@
 
 
 class GroupTest(unittest.TestCase):
-    """Who was served, and who was not."""
+    """Outcomes by group."""
 
     @parameterized.expand(
         [
             (
                 Group.TEAM,
                 {
-                    'small': {Ending.REFUSED: 1, Ending.FAILED: 1},
+                    'small': {Outcome.REFUSED: 1, Outcome.FAILED: 1},
                     'large': {
-                        Ending.IN_TIME: 1,
-                        Ending.LATE: 1,
-                        Ending.OVER_LIMIT: 1,
+                        Outcome.IN_TIME: 1,
+                        Outcome.LATE: 1,
+                        Outcome.OVER_LIMIT: 1,
                     },
                 },
             ),
             (
                 Group.HALL,
                 {
-                    'far': {Ending.OVER_LIMIT: 1, Ending.FAILED: 1},
+                    'far': {Outcome.OVER_LIMIT: 1, Outcome.FAILED: 1},
                     'near': {
-                        Ending.IN_TIME: 1,
-                        Ending.LATE: 1,
-                        Ending.REFUSED: 1,
+                        Outcome.IN_TIME: 1,
+                        Outcome.LATE: 1,
+                        Outcome.REFUSED: 1,
                     },
                 },
             ),
             (
                 Group.SECOND,
                 {
-                    '2': {Ending.IN_TIME: 1, Ending.LATE: 1},
+                    '2': {Outcome.IN_TIME: 1, Outcome.LATE: 1},
                     '3': {
-                        Ending.REFUSED: 1,
-                        Ending.OVER_LIMIT: 1,
-                        Ending.FAILED: 1,
+                        Outcome.REFUSED: 1,
+                        Outcome.OVER_LIMIT: 1,
+                        Outcome.FAILED: 1,
                     },
                 },
             ),
         ]
     )
     def test_groups(self, group, expected):
-        found = count_groups(_MIXED, group, _AIM)
+        counted = count_groups(_TWO_TEAMS, group, _LATENCY_TARGET_SECONDS)
         self.assertEqual(
             list(expected.items()),
-            [(one.name, dict(one.endings)) for one in found],
+            [
+                (group_counts.name, dict(group_counts.outcomes))
+                for group_counts in counted
+            ],
         )
 
     def test_unserved(self):
-        found = count_groups(_MIXED, Group.TEAM, _AIM)
-        self.assertEqual([2, 1], [one.unserved for one in found])
+        counted = count_groups(_TWO_TEAMS, Group.TEAM, _LATENCY_TARGET_SECONDS)
+        self.assertEqual(
+            [2, 1], [group_counts.unserved for group_counts in counted]
+        )
