--- a/packages/bendlead-cli/src/bendlead_cli/load.py
+++ b/packages/bendlead-cli/src/bendlead_cli/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load: requests leave when planned, however slow answers are.
+"""Open-loop load generator: requests are sent on schedule.
 
-Latency counts from the planned moment, so that a stalled system cannot hide
-its stall by slowing the load down.
+Latency is counted from the scheduled time, which avoids coordinated omission
+when responses are slow.
 """
 
 import math
@@ -17,25 +17,25 @@
 from geventhttpclient import HTTPClient
 from hdrh.histogram import HdrHistogram
 
-_MICROSECONDS = 1_000_000
-_LONGEST = 600_000_000
-_DIGITS = 3
+_MICROSECONDS_PER_SECOND = 1_000_000
+_MAX_LATENCY_MICROSECONDS = 600_000_000
+_SIGNIFICANT_DIGITS = 3
 _PERCENTILES = (50, 95, 99, 99.9)
-_SETTLE_SECONDS = 20.0
-_CONNECTIONS = 2000
-_NETWORK_SECONDS = 120.0
+_COMPLETION_TIMEOUT_SECONDS = 20.0
+_MAX_CONNECTIONS = 2000
+_NETWORK_TIMEOUT_SECONDS = 120.0
 _WORD_BITS = 20
 _EVENT_END = b'\n\n'
 
 
 def new_histogram() -> HdrHistogram:
-    """Make an empty histogram of microseconds."""
-    return HdrHistogram(1, _LONGEST, _DIGITS)
+    """Return an empty histogram of microseconds."""
+    return HdrHistogram(1, _MAX_LATENCY_MICROSECONDS, _SIGNIFICANT_DIGITS)
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Say how many requests leave when (rates per second)."""
+    """Schedule and size of requests; the rate is per second."""
 
     rate: float
     seconds: float
@@ -45,71 +45,71 @@
     tokens: int = 32
     seed: int = 1
 
-    def moments(self) -> Iterator[float]:
-        """Give the seconds after the start at which requests leave."""
-        chance = random.Random(self.seed)
-        at = chance.expovariate(self.rate)
-        while at < self.seconds:
-            if self._in_burst(at):
-                yield at
-            at += chance.expovariate(self.rate)
+    def send_times(self) -> Iterator[float]:
+        """Yield the send times, in seconds after the start."""
+        random_source = random.Random(self.seed)
+        elapsed = random_source.expovariate(self.rate)
+        while elapsed < self.seconds:
+            if self._in_burst(elapsed):
+                yield elapsed
+            elapsed += random_source.expovariate(self.rate)
 
-    def _in_burst(self, at: float) -> bool:
+    def _in_burst(self, elapsed: float) -> bool:
         period = self.burst_seconds + self.gap_seconds
         if not period:
             return True
-        return math.fmod(at, period) < self.burst_seconds
+        return math.fmod(elapsed, period) < self.burst_seconds
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """Gather what a load run measured."""
+    """Latencies and counts of a load run."""
 
-    first: HdrHistogram = field(default_factory=new_histogram)
-    between: HdrHistogram = field(default_factory=new_histogram)
-    whole: HdrHistogram = field(default_factory=new_histogram)
+    first_token: HdrHistogram = field(default_factory=new_histogram)
+    token_gaps: HdrHistogram = field(default_factory=new_histogram)
+    total: HdrHistogram = field(default_factory=new_histogram)
     sent: int = 0
     completed: int = 0
-    cut: int = 0
+    truncated: int = 0
     tokens: int = 0
     statuses: dict[int, int] = field(default_factory=dict)
 
     def add(self, other: 'LoadResult') -> None:
-        """Take in what another run of the same kind measured."""
-        self.first.add(other.first)
-        self.between.add(other.between)
-        self.whole.add(other.whole)
+        """Add the latencies and counts of another run."""
+        self.first_token.add(other.first_token)
+        self.token_gaps.add(other.token_gaps)
+        self.total.add(other.total)
         self.sent += other.sent
         self.completed += other.completed
-        self.cut += other.cut
+        self.truncated += other.truncated
         self.tokens += other.tokens
         for status, count in other.statuses.items():
             self.statuses[status] = self.statuses.get(status, 0) + count
 
     def summary(self) -> dict[str, object]:
-        """Give all figures in milliseconds."""
+        """Return counts, and latency percentiles in milliseconds."""
         return {
             'sent': self.sent,
             'completed': self.completed,
-            'cut': self.cut,
+            'cut': self.truncated,
             'tokens': self.tokens,
             'statuses': self.statuses,
-            'first_token_ms': _milliseconds(self.first),
-            'between_tokens_ms': _milliseconds(self.between),
-            'whole_ms': _milliseconds(self.whole),
+            'first_token_ms': _percentiles_ms(self.first_token),
+            'between_tokens_ms': _percentiles_ms(self.token_gaps),
+            'whole_ms': _percentiles_ms(self.total),
         }
 
 
 class OpenLoop:
-    """Send streamed chat requests by a plan."""
+    """Client that sends streamed chat requests on a schedule."""
 
     def __init__(self, address: str, key: str, model: str) -> None:
         host, port = address.rsplit(':', 1)
         self._client = HTTPClient(
             host,
             int(port),
-            concurrency=_CONNECTIONS,
-            network_timeout=_NETWORK_SECONDS,
+            concurrency=_MAX_CONNECTIONS,
+            network_timeout=_NETWORK_TIMEOUT_SECONDS,
         )
         self._headers = {
             'Authorization': f'Bearer {key}',
@@ -118,23 +118,23 @@
         self._model = model
 
     def run(self, plan: LoadPlan) -> LoadResult:
-        """Send every request of the plan and wait for the answers."""
+        """Send every request of the plan and wait for the responses."""
         result = LoadResult()
         started = time.monotonic()
         tasks = []
-        for number, moment in enumerate(plan.moments()):
-            planned = started + moment
+        for number, send_time in enumerate(plan.send_times()):
+            planned = started + send_time
             gevent.sleep(max(0, planned - time.monotonic()))
             tasks.append(
-                gevent.spawn(self._request, plan, number, planned, result),
+                gevent.spawn(self._send, plan, number, planned, result),
             )
-        rest = started + plan.seconds - time.monotonic()
-        gevent.sleep(max(0, rest))
-        gevent.joinall(tasks, timeout=_SETTLE_SECONDS)
+        remaining = started + plan.seconds - time.monotonic()
+        gevent.sleep(max(0, remaining))
+        gevent.joinall(tasks, timeout=_COMPLETION_TIMEOUT_SECONDS)
         gevent.killall(tasks)
         return result
 
-    def _request(
+    def _send(
         self,
         plan: LoadPlan,
         number: int,
@@ -144,8 +144,8 @@
         result.sent += 1
         try:
             self._stream(plan, number, planned, result)
-        except Exception:  # the library raises many kinds
-            result.cut += 1
+        except Exception:  # geventhttpclient raises unrelated types
+            result.truncated += 1
 
     def _stream(
         self,
@@ -171,20 +171,22 @@
             now = time.monotonic()
             if b'[DONE]' in event:
                 result.completed += 1
-                _record(result.whole, now - planned)
+                _record(result.total, now - planned)
                 return
             if previous:
-                _record(result.between, now - previous)
+                _record(result.token_gaps, now - previous)
             else:
-                _record(result.first, now - planned)
+                _record(result.first_token, now - planned)
             previous = now
             result.tokens += 1
-        result.cut += 1
+        result.truncated += 1
 
     def _body(self, plan: LoadPlan, number: int) -> bytes:
-        chance = random.Random(plan.seed * _MICROSECONDS + number)
+        random_source = random.Random(
+            plan.seed * _MICROSECONDS_PER_SECOND + number
+        )
         words = [
-            f'{chance.getrandbits(_WORD_BITS):x}'
+            f'{random_source.getrandbits(_WORD_BITS):x}'
             for _ in range(plan.prompt_words)
         ]
         return msgspec.json.encode(
@@ -198,10 +200,10 @@
 
 
 def _record(histogram: HdrHistogram, seconds: float) -> None:
-    histogram.record_value(max(1, int(seconds * _MICROSECONDS)))
+    histogram.record_value(max(1, int(seconds * _MICROSECONDS_PER_SECOND)))
 
 
-def _milliseconds(histogram: HdrHistogram) -> dict[str, float]:
+def _percentiles_ms(histogram: HdrHistogram) -> dict[str, float]:
     return {
         f'p{percentile:g}': round(
             histogram.get_value_at_percentile(percentile) / 1000,
--- a/testing/src/bendlead_testing/bench/stop.py
+++ b/testing/src/bendlead_testing/bench/stop.py
@@ -39,7 +39,7 @@
         'stops': len(stops),
         'requests': result.sent,
         'completed': result.completed,
-        'cut': result.cut,
+        'cut': result.truncated,
         'statuses': result.statuses,
         'leaving_after_p50_s': delays[len(delays) // 2],
         'leaving_after_max_s': delays[-1],
