--- a/deploy/bendleadd.py
+++ b/deploy/bendleadd.py
@@ -1,4 +1,4 @@
-"""Start bendleadd from a checkout: the packages lie beside each other."""
+"""Start bendleadd from a source checkout, without installed packages."""
 
 import pathlib
 import signal
@@ -12,9 +12,9 @@
     'packages/bendlead-schema/src',
     'packages/bendlead-store/src',
 )
-# Until the process handles it: the settings are read after this.
+# Ignored until the handler that reloads the settings is installed.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
-# The script's own folder holds nothing to import.
+# Replaces the script's directory, which has no modules to import.
 sys.path[0:1] = [str(ROOT / source) for source in SOURCES]
 
 from bendlead_preopen import open_clients_socket  # noqa: E402
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -27,14 +27,14 @@
 
 
 def generate(target: pathlib.Path) -> None:
-    """Write one module for each schema below the target."""
+    """Write a module for each schema to the target directory."""
     generator = pathlib.Path(sys.executable).parent / 'datamodel-codegen'
     command = [generator, f'--input={SCHEMAS}', f'--output={target}', *OPTIONS]
     subprocess.run(command, check=True)
 
 
 def write_public(target: pathlib.Path) -> None:
-    """Write the thin public module before each generated one."""
+    """Write a public module that re-exports each generated one."""
     for schema in SCHEMAS.glob('*.json'):
         module = schema.stem
         shutil.copy(schema, target.parent)
@@ -57,25 +57,25 @@
         )
 
 
-def differing(target: pathlib.Path) -> list[str]:
-    """Name the committed modules that differ from fresh ones."""
+def find_stale(target: pathlib.Path) -> list[str]:
+    """Return the names of committed modules that are out of date."""
     return [
-        fresh.name
-        for fresh in sorted(target.glob('*.py'))
-        if fresh.read_text() != (TARGET / fresh.name).read_text()
+        generated.name
+        for generated in sorted(target.glob('*.py'))
+        if generated.read_text() != (TARGET / generated.name).read_text()
     ]
 
 
 def main() -> None:
-    """Generate in place, or compare when asked to check."""
+    """Generate in place, or with --check fail if modules are out of date."""
     if '--check' not in sys.argv:
         generate(TARGET)
         write_public(TARGET)
         return
     with tempfile.TemporaryDirectory() as folder:
-        fresh = pathlib.Path(folder) / '_generated'
-        generate(fresh)
-        stale = differing(fresh)
+        generated = pathlib.Path(folder) / '_generated'
+        generate(generated)
+        stale = find_stale(generated)
     if stale:
         sys.exit(f'generated code is stale, run make generate: {stale}')
 
--- a/tools/reference.py
+++ b/tools/reference.py
@@ -1,4 +1,4 @@
-"""Write the reference of settings from their schema."""
+"""Generate the settings reference from the schema."""
 
 import json
 import pathlib
@@ -22,22 +22,28 @@
             parts.append(f'\nOne of: {", ".join(kind["enum"])}.\n')
             continue
         parts.append('\n| key | default | range | meaning |\n|---|---|---|---|\n')
-        parts.extend(_row(key, one) for key, one in kind['properties'].items())
+        parts.extend(
+            _table_row(key, field) for key, field in kind['properties'].items()
+        )
     target = ROOT / 'docs/reference/settings.md'
     target.write_text(''.join(parts))
 
 
-def _row(key: str, kind: dict) -> str:
+def _table_row(key: str, kind: dict) -> str:
     default = json.dumps(kind['default']) if 'default' in kind else 'required'
     low, high = kind.get('minimum', ''), kind.get('maximum', '')
-    span = f'{low} to {high}' if low != '' or high != '' else ''
-    meaning = kind.get('description') or _reference(kind)
-    return f'| `{key}` | {default} | {span} | {meaning} |\n'
+    value_range = f'{low} to {high}' if low != '' or high != '' else ''
+    meaning = kind.get('description') or _type_reference(kind)
+    return f'| `{key}` | {default} | {value_range} | {meaning} |\n'
 
 
-def _reference(kind: dict) -> str:
+def _type_reference(kind: dict) -> str:
     options = kind.get('anyOf', [kind])
-    names = [one['$ref'].rsplit('/', 1)[1] for one in options if '$ref' in one]
+    names = [
+        option['$ref'].rsplit('/', 1)[1]
+        for option in options
+        if '$ref' in option
+    ]
     return f'see {names[0]}' if names else ''
 
 
