--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/balancer.py
@@ -1,4 +1,4 @@
-"""Selection of an engine for a request, from all that is known of them."""
+"""Selection of an engine for a request by load, speed and health."""
 
 import random
 from collections.abc import Collection, Sequence
@@ -97,7 +97,7 @@
         """Choose an engine for an online request.
 
         Set once for a request that cannot be retried: it is not used as a
-        trial and avoids suspected engines.
+        trial and avoids doubted engines.
         """
         views = self.views(service, tried)
         if self._shared is not None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/catalog.py
@@ -27,11 +27,11 @@
 #: Engines that are missing from the list after an outage of the store are kept
 #: this long, since their entries may have expired meanwhile.
 _OUTAGE_GRACE_SECONDS = 2.0
-_MS = 1000
+_MS_PER_SECOND = 1000
 #: If at least this share of a service's engines is removed at once, their
 #: entries probably expired during an outage that the watch did not notice.
 _MASS_REMOVAL_SHARE = 0.5
-#: How long such engines are kept. An engine that has really left must get no
+#: How long such engines are kept. An engine that was really removed must get no
 #: more work after 2 s, which include the time to gather and receive changes.
 _MASS_REMOVAL_GRACE_SECONDS = 1.75
 
@@ -99,7 +99,7 @@
             self._apply_entry(Entry(change.key, change.version, change.body))
 
     def activate(self, configuration: Configuration, source: str) -> None:
-        """Activate a configuration unless the active one is as new."""
+        """Activate a configuration if it is newer than the active one."""
         if self.current and configuration.version <= self.version:
             self._log.event(
                 'config-older',
@@ -172,20 +172,20 @@
 
     def is_ready(self, engine: Engine) -> bool:
         """Return whether this incarnation of an engine is listed as ready."""
-        known = self._engines.get(engine.engine)
-        if known is None or known.born != engine.born:
+        listed = self._engines.get(engine.engine)
+        if listed is None or listed.born != engine.born:
             return False
-        return known.state is EngineState.READY
+        return listed.state is EngineState.READY
 
     def warming(self, engine: Engine) -> bool:
         """Return whether an engine is still in its warm-up time."""
         if engine.born:
-            return time.time() < engine.born / _MS + engine.warmup
+            return time.time() < engine.born / _MS_PER_SECOND + engine.warmup
         listed_at = self._listed_at.get(engine.engine, 0)
         return clock.uptime() < listed_at + engine.warmup
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Replace the list; after an outage keep missing engines a while."""
+        """Replace the list; after an outage keep missing ones for a while."""
         listed: set[EngineId] = set()
         for entry in entries:
             name = self._apply_entry(entry)
@@ -228,14 +228,14 @@
         self, name: EngineId, removals: Collection[EngineId]
     ) -> bool:
         service = self._engines[name].service
-        known = [
+        listed = [
             engine.engine
             for engine in self._engines.values()
             if engine.service == service
         ]
-        removed = sum(engine in removals for engine in known)
-        several = removed > 1 or len(known) == 1
-        return several and removed >= len(known) * _MASS_REMOVAL_SHARE
+        removed = sum(engine in removals for engine in listed)
+        several = removed > 1 or len(listed) == 1
+        return several and removed >= len(listed) * _MASS_REMOVAL_SHARE
 
     def _keep_for(self, missing: Collection[EngineId], seconds: float) -> None:
         """Keep engines whose entries may have expired for some seconds."""
@@ -259,15 +259,15 @@
             self._skip_unreadable(entry, decoded.err_value)
             return None
         engine = decoded.ok_value
-        known = self._engines.get(engine.engine)
+        previous = self._engines.get(engine.engine)
         if int(entry.version) < self._revision.get(engine.engine, 0):
             return engine.engine
         self._revision[engine.engine] = int(entry.version)
         self._expected.discard(engine.engine)
         self._removals.discard(engine.engine)
-        if known is None or known.born != engine.born:
-            self._start_incarnation(known, engine)
-        if known != engine:
+        if previous is None or previous.born != engine.born:
+            self._start_incarnation(previous, engine)
+        if previous != engine:
             self._engines[engine.engine] = engine
             self._index_ready()
             self._log.event(
@@ -288,17 +288,19 @@
         if name in self._engines:
             self._drop(name, 'entry cannot be decoded')
 
-    def _start_incarnation(self, known: Engine | None, engine: Engine) -> None:
-        """Record a new incarnation and drop what is known of the previous."""
+    def _start_incarnation(
+        self, previous: Engine | None, engine: Engine
+    ) -> None:
+        """Record a new incarnation and discard the state of the previous."""
         self._listed_at[engine.engine] = clock.uptime()
-        if known is not None:
+        if previous is not None:
             self._log.event(
                 'engine-born-again',
                 engine=engine.engine,
                 born=engine.born,
-                before=known.born,
+                before=previous.born,
             )
-            self._on_removed(known)
+            self._on_removed(previous)
 
     def _drop(self, name: EngineId, reason: str) -> None:
         engine = self._engines.pop(name, None)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/changes.py
@@ -25,7 +25,7 @@
 _MAX_NAMES = 8192
 #: An age is not sent again while the moment it stands for moves by less.
 _AGE_TOLERANCE_MS = 30
-_MS = 1000
+_MS_PER_SECOND = 1000
 _TOLD = 'told'
 _ANSWERED = 'answered_ms'
 _FAILED = 'failed_ms'
@@ -76,7 +76,7 @@
     def current(self, name: str, now: float) -> int:
         """Return an age as of now in milliseconds; -1 if it never was."""
         age, at = self._sent.get(name, (-1, now))
-        return age if age < 0 else age + round((now - at) * _MS)
+        return age if age < 0 else age + round((now - at) * _MS_PER_SECOND)
 
 
 def _is_close(current: int, derived: int) -> bool:
@@ -104,13 +104,15 @@
         return self._needs_full
 
     def confirm(self, number: int) -> bool:
-        """Take the peer's acknowledgement; return whether it is current."""
+        """Process the peer's acknowledgement; return whether it is current."""
         self._confirmed = number == self._number and bool(self._names)
         self._needs_full = not self._confirmed
         return self._confirmed
 
-    def write(self, report: NodeReport, holds: int, now: float) -> ReportChange:
-        """Encode a report, with the number of the peer's report held here."""
+    def write(
+        self, report: NodeReport, received: int, now: float
+    ) -> ReportChange:
+        """Encode a report, with the number of the last one received."""
         if not self._confirmed or len(self._names) > _MAX_NAMES:
             self._restart()
         base = self._number if self._confirmed else 0
@@ -128,7 +130,7 @@
             node=report.node,
             number=self._number,
             base=base or UNSET,
-            holds=holds or UNSET,
+            holds=received or UNSET,
             names=list(self._names)[names_before:] or UNSET,
             changes=changes or UNSET,
             told=relayed or UNSET,
@@ -183,19 +185,20 @@
 
     @property
     def last_number(self) -> int:
-        """Number of the last report received; 0 if none is held."""
+        """Number of the last report received; 0 if the next must be full."""
         return self._number
 
     def read(self, change: ReportChange, now: float) -> NodeReport:
         """Decode a report.
 
-        Raises ReportGapError or UnreadableChangeError; then no report is held.
+        Raises ReportGapError or UnreadableChangeError; then the next
+        report must be full.
         """
         if change.base and change.base != self._number:
-            held = self._number
+            last = self._number
             self._restart()
             raise ReportGapError(
-                f'change is based on report {change.base}, last received {held}'
+                f'change is based on report {change.base}, last received {last}'
             )
         if not change.base:
             self._restart()
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/fleet.py
@@ -24,7 +24,7 @@
 #: Changes often come in series; they are gathered to save calls, well within
 #: the 2 s after which they must be in force.
 _GATHER_SECONDS = 0.15
-_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 class Fleet:
@@ -111,13 +111,15 @@
 
     def receive(self, report: NodeReport) -> None:
         """Apply what a peer reports on engines and the object service."""
-        self.pace.add_peer_run(report.run_ms / _MS)
+        self.pace.add_peer_run(report.run_ms / _MS_PER_SECOND)
         self.shared_health.receive(report.evidence)
         self._refusals.receive(NodeName(report.node), report.refused)
         for watch in self._watches():
             watch.on_peer_revision(report.revisions.get(watch.prefix, 0))
         if 0 <= report.answered_ms < report.failed_ms:
-            self.restart_watches(clock.uptime() - report.failed_ms / _MS)
+            self.restart_watches(
+                clock.uptime() - report.failed_ms / _MS_PER_SECOND
+            )
 
     def restart_watches(self, failed_at: float) -> None:
         """Restart the watch calls that began before a failure."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/links.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/links.py
@@ -85,9 +85,9 @@
         self._hops_by_size.clear()
         self._relays.clear()
 
-    def between(self, one: NodeName, other: NodeName) -> Link:
+    def between(self, node: NodeName, other: NodeName) -> Link:
         """Return how two processes exchange reports."""
-        first = self._positions.get(one)
+        first = self._positions.get(node)
         second = self._positions.get(other)
         if first is None or second is None or first == second:
             return Link.NONE
@@ -97,14 +97,16 @@
             return Link.WATCH
         return Link.NONE
 
-    def relays(self, one: NodeName, other: NodeName, node: NodeName) -> bool:
+    def relays(
+        self, sender_node: NodeName, receiver_node: NodeName, node: NodeName
+    ) -> bool:
         """Return whether one process relays reports about a node to another.
 
         Within a hall all reports are relayed. Another hall gets them from the
         node's hall, or from halls linked with both if these are not linked.
         """
-        sender = self._positions.get(one)
-        receiver = self._positions.get(other)
+        sender = self._positions.get(sender_node)
+        receiver = self._positions.get(receiver_node)
         subject = self._positions.get(node)
         if sender is None or receiver is None or subject is None:
             return False
@@ -129,8 +131,8 @@
     def _relays_for(self, subject: _Position, hall: int) -> Collection[int]:
         """Return the linked indices nearest to a process, for a hall."""
         key = (subject.hall, subject.index, hall)
-        known = self._relays.get(key)
-        if known is None:
+        indices = self._relays.get(key)
+        if indices is None:
             size = self._sizes[subject.hall]
             hops = self._hops_in(subject.hall)
             linked = [
@@ -139,9 +141,9 @@
                 if self._are_linked(index, subject.hall, hall)
             ]
             linked.sort(key=lambda index: hops[(index - subject.index) % size])
-            known = frozenset(linked[:_RELAYS_PER_HALL])
-            self._relays[key] = known
-        return known
+            indices = frozenset(linked[:_RELAYS_PER_HALL])
+            self._relays[key] = indices
+        return indices
 
     def _hops_in(self, hall: int) -> Sequence[int]:
         size = self._sizes[hall]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/load_relay.py
@@ -13,10 +13,10 @@
 from bendlead_gateway._teams.reported_counts import TeamCounts
 from bendlead_gateway.types import EngineId, NodeName, TeamName
 
-_MS = 1000
+_MS_PER_SECOND = 1000
 
-#: Takes a node, its counts of admitted requests by team, their version and the
-#: time of its report.
+#: Called with a node, its counts of admitted requests by team, their version
+#: and the time of its report.
 OnTeamCounts = Callable[[NodeName, TeamCounts, int, float], None]
 
 
@@ -28,9 +28,9 @@
 
 #: Reports of this age are no longer relayed.
 _MAX_RELAYED_AGE_SECONDS = 1.0
-#: Nodes that one report may ask for, and that are answered.
+#: Bound on the requested nodes whose reports are relayed in one report.
 _MAX_REQUESTED_NODES = 16
-#: Nodes relayed unasked in one report; the others follow in the next.
+#: Bound on further nodes in one report; the others follow in the next.
 _MAX_RELAYED_NODES = 128
 #: Unchanged counts get a new version after this time, before they expire at the
 #: receiver.
@@ -93,11 +93,11 @@
             or report.batch != last.batch
             or report.teams != last.teams
         )
-        # A process that counts teams must be known of while it is idle too.
+        # An idle process must refresh its counts too if it counts by team.
         needed = bool(report.online or report.batch or report.life)
         if changed or (needed and now - last.since > _REFRESH_SECONDS):
             # Based on wall-clock time, so that versions rise across restarts.
-            version = max(last.version + 1, round(time.time() * _MS))
+            version = max(last.version + 1, round(time.time() * _MS_PER_SECOND))
             self._own_counts = _OwnCounts(
                 version, now, report.online, report.batch, report.teams
             )
@@ -107,22 +107,26 @@
         """Return the reports that a peer asked for and those new to it."""
         relayed: list[ToldLoad] = []
         for name in peer.missing_nodes[:_MAX_REQUESTED_NODES]:
-            known = self._loads.latest(NodeName(name))
-            if known is not None and known.age < _MAX_RELAYED_AGE_SECONDS:
-                relayed.append(_to_relayed_load(NodeName(name), known))
+            peer_load = self._loads.latest(NodeName(name))
+            if (
+                peer_load is not None
+                and peer_load.age < _MAX_RELAYED_AGE_SECONDS
+            ):
+                relayed.append(_to_relayed_load(NodeName(name), peer_load))
         if peer.link is Link.CLOSE:
             relayed.extend(self._new_reports(peer))
         return relayed
 
     def has_reports_for(self, peer: Peer) -> bool:
         """Return whether there are new reports to relay to a peer."""
-        arrived = self._loads.reported_after(peer.relayed_until)
+        reports = self._loads.reported_after(peer.relayed_until)
         return any(
-            self._should_relay(peer, node, known) for node, known in arrived
+            self._should_relay(peer, node, peer_load)
+            for node, peer_load in reports
         )
 
     def receive(self, peer: Peer, relayed: Sequence[ToldLoad]) -> None:
-        """Take relayed reports; older ones than those known are ignored."""
+        """Store relayed reports that are newer than those stored."""
         now = clock.uptime()
         for load in relayed:
             node = NodeName(load.node)
@@ -130,7 +134,7 @@
                 continue
             peer.known_versions[node] = load.version
             teams = team_counts(load)
-            age = load.age_ms / _MS
+            age = load.age_ms / _MS_PER_SECOND
             self._loads.report(
                 node,
                 {EngineId(name): count for name, count in load.online.items()},
@@ -143,37 +147,37 @@
 
     def _new_reports(self, peer: Peer) -> list[ToldLoad]:
         relayed: list[ToldLoad] = []
-        for node, known in self._loads.reported_after(peer.relayed_until):
+        for node, peer_load in self._loads.reported_after(peer.relayed_until):
             if len(relayed) == _MAX_RELAYED_NODES:
                 break
-            peer.relayed_until = known.sequence
-            if self._should_relay(peer, node, known):
-                peer.known_versions[node] = known.version
-                relayed.append(_to_relayed_load(node, known))
+            peer.relayed_until = peer_load.sequence
+            if self._should_relay(peer, node, peer_load):
+                peer.known_versions[node] = peer_load.version
+                relayed.append(_to_relayed_load(node, peer_load))
         return relayed
 
     def _should_relay(
-        self, peer: Peer, node: NodeName, known: PeerLoad
+        self, peer: Peer, node: NodeName, peer_load: PeerLoad
     ) -> bool:
         receiver = peer.record.node
-        if node == receiver or known.age > _MAX_RELAYED_AGE_SECONDS:
+        if node == receiver or peer_load.age > _MAX_RELAYED_AGE_SECONDS:
             return False
-        if peer.known_versions.get(node, -1) >= known.version:
+        if peer.known_versions.get(node, -1) >= peer_load.version:
             return False
         if not self._links.relays(self._own, receiver, node):
             return False
         return self._links.between(receiver, node) is not Link.CLOSE
 
 
-def _to_relayed_load(node: NodeName, known: PeerLoad) -> ToldLoad:
+def _to_relayed_load(node: NodeName, peer_load: PeerLoad) -> ToldLoad:
     return ToldLoad(
         node=node,
-        age_ms=round(known.age * _MS),
-        version=known.version,
-        online=dict(known.online),
-        batch=dict(known.batch),
-        life=known.teams.life,
-        teams=dict(known.teams.counts),
+        age_ms=round(peer_load.age * _MS_PER_SECOND),
+        version=peer_load.version,
+        online=dict(peer_load.online),
+        batch=dict(peer_load.batch),
+        life=peer_load.teams.life,
+        teams=dict(peer_load.teams.counts),
     )
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/loads.py
@@ -112,22 +112,22 @@
         version: int = 0,
         teams: TeamCounts = _NO_TEAMS,
     ) -> None:
-        """Take a peer's counts, which are of some seconds ago (age)."""
+        """Store a peer's counts, reported ``age`` seconds ago."""
         reported_at = clock.uptime() - age
-        known = self.latest(node)
-        if known and (known.version, known.reported_at) >= (
+        previous = self.latest(node)
+        if previous and (previous.version, previous.reported_at) >= (
             version,
             reported_at,
         ):
             return
-        if known in self._overdue:
+        if previous in self._overdue:
             self._next_check = 0
-        if known:
-            self._observe_delay(reported_at - known.reported_at, age)
-        interval = known.next_interval(reported_at) if known else 0
-        if known and version and known.version == version:
-            known.reported_at = reported_at
-            known.interval = interval
+        if previous:
+            self._observe_delay(reported_at - previous.reported_at, age)
+        interval = previous.next_interval(reported_at) if previous else 0
+        if previous and version and previous.version == version:
+            previous.reported_at = reported_at
+            previous.interval = interval
         else:
             self._reports.pop(node, None)
             self._last_sequence += 1
@@ -156,16 +156,16 @@
 
     def latest(self, node: NodeName) -> PeerLoad | None:
         """Return the last report of a peer unless it has expired."""
-        known = self._reports.get(node)
-        if known is None or known.age > _EXPIRY_SECONDS:
+        load = self._reports.get(node)
+        if load is None or load.age > _EXPIRY_SECONDS:
             return None
-        return known
+        return load
 
     def age_of(self, node: NodeName) -> float | None:
         """Return the age of a peer's last report if more are expected."""
-        known = self._reports.get(node)
-        if known and (known.online or known.batch or known.teams.life):
-            return known.age
+        load = self._reports.get(node)
+        if load and (load.online or load.batch or load.teams.life):
+            return load.age
         return None
 
     def online(self, engine: EngineId) -> int:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/pace_updates.py
@@ -1,8 +1,8 @@
 """Exchange measured engine speeds with peers.
 
-A new finding is sent to direct peers for a short time and is not relayed. A
-process does not send a finding that enough peers have already reported.
-Unchanged findings are only renewed now and then.
+A new estimate is sent to direct peers for a short time and is not relayed. A
+process does not send an estimate that enough peers have already reported.
+Unchanged estimates are renewed at long intervals.
 """
 
 from collections import Counter
@@ -22,30 +22,30 @@
 )
 from bendlead_gateway.types import Engine, EngineId, NodeName
 
-_US = 1_000_000
-#: A finding is sent for this long, in which each peer gets a report.
+_US_PER_SECOND = 1_000_000
+#: An estimate is sent for this long, in which each peer gets a report.
 _SEND_SECONDS = 0.25
-#: Findings in one report; the others follow in the next.
-_MAX_FINDINGS_PER_REPORT = 32
-#: A finding is sent when it comes from this many streams, when it differs from
-#: the last one sent by more than this share, and again after this time.
+#: Estimates in one report; the others follow in the next.
+_MAX_ESTIMATES_PER_REPORT = 32
+#: An estimate is sent when it comes from this many streams, when it differs
+#: from the last one sent by more than this share, and again after this time.
 _SEND_AT_STREAMS = frozenset((1, 3, RELIABLE_STREAMS))
 _CHANGE_RATIO = 0.15
 _RENEW_SECONDS = 20.0
-#: A finding is not sent once this many peers have reported the same.
+#: An estimate is not sent once this many peers have reported the same.
 _MAX_CONFIRMATIONS = 2
 #: A peer without a report for this long may have restarted.
 _RESTART_SUSPECTED_SECONDS = 2.0
-#: Least interval between log entries about implausible findings.
+#: Minimum interval between log entries about implausible estimates.
 _LOG_SECONDS = 10.0
 _MAX_STREAMS = 1_000_000
 
 
-class _PendingFinding(Struct, frozen=True):
-    """A finding that is being sent, and until when."""
+class _PendingEstimate(Struct, frozen=True):
+    """An estimate that is being sent, and until when."""
 
     engine: Engine
-    finding: SpeedEstimate
+    estimate: SpeedEstimate
     until: float
 
 
@@ -56,30 +56,28 @@
         self._engines = engines
         self._speeds = pace.speeds
         self._log = log
-        self._pending: dict[EngineId, _PendingFinding] = {}
+        self._pending: dict[EngineId, _PendingEstimate] = {}
         self._last_report: dict[str, float] = {}
         self._logged_at = 0.0
         self._uneven: Collection[str] = ()
-        #: Findings by source.
+        #: Estimates by source.
         self.counts: Counter[str] = Counter()
-        pace.on_estimate = self._on_own_finding
+        pace.on_estimate = self._on_own_estimate
 
     def outgoing(self) -> list[ToldPace]:
-        """Return the findings for one report."""
+        """Return the estimates for one report."""
         now = clock.uptime()
         self._log_uneven()
         expired = [
-            name
-            for name, finding in self._pending.items()
-            if finding.until < now
+            name for name, entry in self._pending.items() if entry.until < now
         ]
         for name in expired:
             self._pending.pop(name)
-        pending = list(self._pending.values())[:_MAX_FINDINGS_PER_REPORT]
-        return [_encode(finding) for finding in pending]
+        pending = list(self._pending.values())[:_MAX_ESTIMATES_PER_REPORT]
+        return [_encode(entry) for entry in pending]
 
     def receive(self, report: NodeReport) -> None:
-        """Take the findings in a peer's report."""
+        """Store the estimates in a peer's report."""
         now = clock.uptime()
         if (
             now - self._last_report.get(report.node, 0)
@@ -87,11 +85,11 @@
         ):
             self._schedule_all()
         self._last_report[report.node] = now
-        witness = NodeName(report.node)
+        observer = NodeName(report.node)
         implausible = [
             pace
             for pace in report.paces
-            if not self._accept(witness, pace, now)
+            if not self._accept(observer, pace, now)
         ]
         self.counts['odd'] += len(implausible)
         if implausible and now - self._logged_at > _LOG_SECONDS:
@@ -106,7 +104,7 @@
             )
 
     def summary(self) -> dict[str, dict[str, float]]:
-        """Return what is known of each engine, for the state dump."""
+        """Return the speed of each engine, for the state dump."""
         now = clock.uptime()
         known = {
             engine.engine: self._summarize(engine, now)
@@ -124,31 +122,31 @@
             'witnesses': len(self._speeds.peer_estimates(engine)),
         }
 
-    def _on_own_finding(self, engine: Engine, finding: SpeedEstimate) -> None:
-        """Take a finding of this process."""
+    def _on_own_estimate(self, engine: Engine, estimate: SpeedEstimate) -> None:
+        """Send an estimate of this process if it is due."""
         self.counts['own'] += 1
-        if self._should_send(engine, finding):
-            self._speeds.mark_sent(engine, finding)
-            self._schedule(engine, finding)
+        if self._should_send(engine, estimate):
+            self._speeds.mark_sent(engine, estimate)
+            self._schedule(engine, estimate)
 
-    def _should_send(self, engine: Engine, finding: SpeedEstimate) -> bool:
+    def _should_send(self, engine: Engine, estimate: SpeedEstimate) -> bool:
         last = self._speeds.last_sent(engine)
         if last is not None:
-            due = finding.at - last.at > _RENEW_SECONDS
-            enough = finding.streams in _SEND_AT_STREAMS
-            changed = not _is_similar(last, finding)
+            due = estimate.at - last.at > _RENEW_SECONDS
+            enough = estimate.streams in _SEND_AT_STREAMS
+            changed = not _is_similar(last, estimate)
             if not (due or enough or changed):
                 return False
-        same = sum(
-            other.weight >= finding.weight and _is_similar(other, finding)
+        confirmations = sum(
+            other.weight >= estimate.weight and _is_similar(other, estimate)
             for other in self._speeds.peer_estimates(engine).values()
-            if finding.at - other.at < _RENEW_SECONDS
+            if estimate.at - other.at < _RENEW_SECONDS
         )
-        return same < _MAX_CONFIRMATIONS
+        return confirmations < _MAX_CONFIRMATIONS
 
-    def _accept(self, witness: NodeName, pace: ToldPace, now: float) -> bool:
-        """Take one finding; return whether it is plausible."""
-        gap = pace.gap_us / _US
+    def _accept(self, observer: NodeName, pace: ToldPace, now: float) -> bool:
+        """Store one estimate; return whether it is plausible."""
+        gap = pace.gap_us / _US_PER_SECOND
         plausible = (
             MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS
             and 0 < pace.streams <= _MAX_STREAMS
@@ -156,23 +154,25 @@
         engine = self._engines.find(EngineId(pace.engine))
         if not plausible or engine is None:
             return False
-        finding = SpeedEstimate(gap, pace.streams, now)
+        estimate = SpeedEstimate(gap, pace.streams, now)
         # It may be of an earlier incarnation of the engine.
-        same = pace.born == engine.born
-        if same and self._speeds.add_peer_estimate(engine, witness, finding):
+        current = pace.born == engine.born
+        if current and self._speeds.add_peer_estimate(
+            engine, observer, estimate
+        ):
             self.counts['heard'] += 1
         return True
 
-    def _schedule(self, engine: Engine, finding: SpeedEstimate) -> None:
+    def _schedule(self, engine: Engine, estimate: SpeedEstimate) -> None:
         until = clock.uptime() + _SEND_SECONDS
-        self._pending[engine.engine] = _PendingFinding(engine, finding, until)
+        self._pending[engine.engine] = _PendingEstimate(engine, estimate, until)
 
     def _schedule_all(self) -> None:
-        """Send all findings again, for a peer that may have restarted."""
+        """Send all estimates again, for a peer that may have restarted."""
         for engine in self._engines.all():
-            finding = self._speeds.last_sent(engine)
-            if finding is not None:
-                self._schedule(engine, finding)
+            estimate = self._speeds.last_sent(engine)
+            if estimate is not None:
+                self._schedule(engine, estimate)
 
     def _log_uneven(self) -> None:
         """Log services whose engines begin or cease to differ in speed."""
@@ -189,14 +189,14 @@
         self._uneven = tuple(uneven)
 
 
-def _is_similar(one: SpeedEstimate, other: SpeedEstimate) -> bool:
-    return abs(one.gap - other.gap) <= _CHANGE_RATIO * other.gap
+def _is_similar(first: SpeedEstimate, other: SpeedEstimate) -> bool:
+    return abs(first.gap - other.gap) <= _CHANGE_RATIO * other.gap
 
 
-def _encode(pending: _PendingFinding) -> ToldPace:
+def _encode(pending: _PendingEstimate) -> ToldPace:
     return ToldPace(
         engine=pending.engine.engine,
         born=pending.engine.born,
-        streams=pending.finding.streams,
-        gap_us=round(pending.finding.gap * _US),
+        streams=pending.estimate.streams,
+        gap_us=round(pending.estimate.gap * _US_PER_SECOND),
     )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer.py
@@ -15,7 +15,7 @@
 _DOWN_SECONDS = 0.9
 #: An owner without a report for this long is probed for a connection.
 PROBE_AFTER_SECONDS = 0.2
-#: After this long without a report, other peers are asked for the loads.
+#: After this long without a report, other peers are asked to relay its loads.
 _LOADS_OVERDUE_SECONDS = 0.4
 #: Missed exchanges in a row after which each of these applies.
 _DOWN_EXCHANGES = 4
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_configuration.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peer_configuration.py
@@ -28,17 +28,17 @@
     """Fetch configurations that the object service has not sent yet."""
 
     def __init__(
-        self, holder: ConfigurationHolder, watch: Watcher, log: Log
+        self, configuration: ConfigurationHolder, watch: Watcher, log: Log
     ) -> None:
-        self._holder = holder
+        self._configuration = configuration
         self._watch = watch
         self._log = log
         self._behind_since = 0.0
         self._fetching = False
 
     def on_peer_version(self, peer: PeerRecord, version: int) -> None:
-        """Take the configuration version in force at a peer."""
-        if version <= self._holder.version:
+        """Fetch a peer's newer configuration if the watch is stale or late."""
+        if version <= self._configuration.version:
             return
         now = clock.uptime()
         if not self._behind_since:
@@ -63,7 +63,7 @@
             )
             return
         self._behind_since = 0
-        self._holder.activate(fetched.ok_value, peer.node)
+        self._configuration.activate(fetched.ok_value, peer.node)
 
 
 def _request(peer: PeerRecord) -> Result[Configuration, Failure]:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/peers.py
@@ -90,7 +90,7 @@
         self.claims = Claims(self._live)
 
     def reset(self, entries: Sequence[Entry], after_outage: bool) -> None:
-        """Take the complete list of processes."""
+        """Apply the complete list of processes."""
         self._listed = True
         listed = {entry.key: entry for entry in entries}
         for entry in entries:
@@ -99,21 +99,21 @@
         self._registration.check(listed.get(self._registration.key))
 
     def change(self, change: Change) -> None:
-        """Take one change to the list of processes."""
+        """Apply one change to the list of processes."""
         if not change.deleted:
             entry = Entry(change.key, change.version, change.body)
             if self._add(entry):
                 self._rebuild_links()
 
     def exchange(self, body: bytes) -> bytes:
-        """Take a peer's full report and return the own one, encoded."""
+        """Apply a peer's full report and return the own one, encoded."""
         report = self.codec.decode_full(body)
         self._on_peer_report(report)
         peer = self._peers.get(NodeName(report.node))
         return self.codec.encode_full(peer, self._build_report(peer))
 
     def exchange_changes(self, body: bytes) -> bytes:
-        """Take a peer's report and return the own one, both as changes."""
+        """Apply a peer's report and return the own one, both as changes."""
         change = self.codec.decode_change(body)
         peer = self._peers.get(NodeName(change.node))
         report = self.codec.apply(peer, change) if peer else None
@@ -140,9 +140,9 @@
         for node, peer in self._peers.items():
             if peer.record.role is not NodeRole.ENTRY:
                 continue
-            known = self._loads.latest(node)
-            if known is not None:
-                peer.counts_received_at = known.reported_at
+            load = self._loads.latest(node)
+            if load is not None:
+                peer.counts_received_at = load.reported_at
                 reporting += 1
             entries += max(peer.counts_received_at, peer.listed_at) > oldest
         return EntryGroup(reporting, entries)
@@ -183,18 +183,18 @@
                     self._log.event('peer-ended', peer=peer.record.node)
 
     def _add(self, entry: Entry) -> bool:
-        """Take the record of a process; return whether it is new."""
+        """Store the record of a process; return whether it is new."""
         decoded = self._dialect.peer(entry)
         if isinstance(decoded, Err):
             self._log.event('peer-unreadable', reason=decoded.err_value)
             return False
         record = decoded.ok_value
-        known = self._peers.get(record.node)
-        same = known is not None and known.record == record
+        previous = self._peers.get(record.node)
+        same = previous is not None and previous.record == record
         if same or record.node == self._own.node:
             return False
-        if known is not None and known.task is not None:
-            known.task.kill(block=False)
+        if previous is not None and previous.task is not None:
+            previous.task.kill(block=False)
         self._peers[record.node] = Peer(record)
         self._log.event('peer-listed', peer=record.node, address=record.address)
         return True
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/processes.py
@@ -28,9 +28,9 @@
         owner = self._own.role is NodeRole.OWNER
         nodes = [TrialNode(self._own.node, items=owner)]
         for node, peer in self._peers.items():
-            known = self._loads.latest(node)
-            if known is not None:
-                items = any(known.batch.values())
+            load = self._loads.latest(node)
+            if load is not None:
+                items = any(load.batch.values())
                 if items or peer.record.role is NodeRole.ENTRY:
                     nodes.append(TrialNode(node, items))
         return nodes
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/recent_sums.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/recent_sums.py
@@ -32,9 +32,9 @@
         self, node: NodeName, counts: Mapping[EngineId, int], reported_at: float
     ) -> None:
         """Replace the counts of a peer."""
-        known = self._counts.get(node, _NO_COUNTS)
-        if known != counts:
-            self._subtract(known)
+        previous = self._counts.get(node, _NO_COUNTS)
+        if previous != counts:
+            self._subtract(previous)
             for engine, count in counts.items():
                 self._totals[engine] = self._totals.get(engine, 0) + count
         self._counts[node] = counts
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/refusals.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/refusals.py
@@ -51,40 +51,40 @@
         return math.inf if refused_at is None else clock.uptime() - refused_at
 
     def receive(self, node: NodeName, counts: Mapping[str, int]) -> None:
-        """Apply a peer's counts; its first ones only serve for comparison."""
+        """Apply a peer's counts; its first ones are the baseline."""
         now = clock.uptime()
-        known = self._peer_counts.get(node)
+        previous = self._peer_counts.get(node)
         if any(not 0 <= count <= _MAX_REFUSALS for count in counts.values()):
-            self._reject(node, known, counts, now)
+            self._reject(node, previous, counts, now)
             return
-        if known is None:
+        if previous is None:
             self._remove_old(now)
         else:
             for name, count in counts.items():
                 # A lower count is that of a restarted process.
-                if count and count != known.counts.get(name, 0):
+                if count and count != previous.counts.get(name, 0):
                     self._latest[ServiceName(name)] = now
         self._peer_counts[node] = _PeerCounts(counts, now)
 
     def _reject(
         self,
         node: NodeName,
-        known: _PeerCounts | None,
+        previous: _PeerCounts | None,
         counts: Mapping[str, int],
         now: float,
     ) -> None:
-        if known is None or not known.invalid:
+        if previous is None or not previous.invalid:
             self._log.event('refusals-unusable', peer=node, told=dict(counts))
         self._peer_counts[node] = _PeerCounts(
-            known.counts if known else {}, now, True
+            previous.counts if previous else {}, now, True
         )
 
     def _remove_old(self, now: float) -> None:
         oldest = now - _RETENTION_SECONDS
         self._peer_counts = {
-            node: known
-            for node, known in self._peer_counts.items()
-            if known.received_at > oldest
+            node: peer
+            for node, peer in self._peer_counts.items()
+            if peer.received_at > oldest
         }
         self._latest = {
             name: refused_at
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/registration.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/registration.py
@@ -11,7 +11,7 @@
 from bendlead_gateway.types import PeerRecord
 
 _FIRST_PAUSE_SECONDS = 0.2
-#: Peers may learn of this process that much later after an outage.
+#: Bound on how much later peers learn of this process after an outage.
 _MAX_PAUSE_SECONDS = 0.8
 #: Failures after which a write has certainly not taken effect.
 _NOT_WRITTEN = frozenset((FailureKind.NOT_DONE, FailureKind.LIMITED))
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/relay_requests.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/relay_requests.py
@@ -15,7 +15,7 @@
 from bendlead_gateway._fleet.peer import Peer
 from bendlead_gateway.types import DataHall, NodeName
 
-#: A peer without reports for longer has stopped and is not only cut off.
+#: A peer without reports for longer counts as stopped, not as cut off.
 MAX_SILENCE_SECONDS = 60.0
 _PEERS_TO_ASK = 2
 #: After this time other peers are chosen.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_codec.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_codec.py
@@ -59,9 +59,9 @@
 
     def encode_change(self, peer: Peer | None, report: NodeReport) -> bytes:
         """Encode a report as changes; in full if there is no previous one."""
-        link = peer.change_codec if peer else ChangeCodec()
-        holds = link.reader.last_number
-        change = link.writer.write(report, holds, clock.uptime())
+        codec = peer.change_codec if peer else ChangeCodec()
+        received = codec.reader.last_number
+        change = codec.writer.write(report, received, clock.uptime())
         body = msgspec.json.encode(change)
         self.sent_bytes['other_hall_changes'] += len(body)
         return body
@@ -86,7 +86,7 @@
             self._log.event(
                 'report-unreadable', peer=peer.record.node, reason=error
             )
-            raise OSError('response holds no readable report') from error
+            raise OSError('response contains no readable report') from error
 
     def apply(self, peer: Peer, change: ReportChange) -> NodeReport | None:
         """Apply a change; log and return None if that is impossible.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_exchanger.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_fleet/report_exchanger.py
@@ -37,7 +37,7 @@
         on_report: Callable[[NodeReport], None],
         has_updates: Callable[[Peer], bool],
     ) -> None:
-        """Take callbacks for building, receiving and announcing reports."""
+        """Set the callbacks to build and receive reports and detect updates."""
         self._hall = hall
         self._codec = codec
         self._build_report = build_report
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evaluator.py
@@ -30,7 +30,7 @@
 _BAD_SHARE = 0.2
 _ACCEPTABLE_SHARE = 0.05
 _FAILURE_SCORE = math.log(_BAD_SHARE / _ACCEPTABLE_SHARE)
-_ANSWER_SCORE = math.log((1 - _BAD_SHARE) / (1 - _ACCEPTABLE_SHARE))
+_SUCCESS_SCORE = math.log((1 - _BAD_SHARE) / (1 - _ACCEPTABLE_SHARE))
 #: Engines are ejected from this score on: two failures within a second without
 #: a success, or more failures among a few successes.
 _EJECT_SCORE = 2.6
@@ -206,7 +206,7 @@
             if observation.good and observation.at > failed_at
         ]
         return HealthAssessment(
-            score=failures * _FAILURE_SCORE + answers * _ANSWER_SCORE,
+            score=failures * _FAILURE_SCORE + answers * _SUCCESS_SCORE,
             failures=failures,
             answers=answers,
             good=sum(observation.good for observation in good),
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/evidence.py
@@ -41,7 +41,7 @@
         self._observations: dict[
             EngineIncarnation, dict[NodeName, Observation]
         ] = {}
-        self._opened_at: dict[EngineIncarnation, float] = {}
+        self._first_observed_at: dict[EngineIncarnation, float] = {}
         #: Revision of each observation, in ascending order.
         self._revisions: dict[_Key, int] = {}
         self._revision = 0
@@ -67,14 +67,14 @@
         stamp: float,
     ) -> None:
         """Record a failure seen by this process at a wall-clock stamp (s)."""
-        known = self._own_observation(incarnation, now, stamp)
-        failures = dict(known.failures)
+        own = self._own_observation(incarnation, now, stamp)
+        failures = dict(own.failures)
         total = sum(failures.values())
         if total < MAX_FAILURES:
             failures[kind] = failures.get(kind, 0) + 1
         self._store(
             incarnation,
-            replace(known, failures=failures, good=0, failed_at=now),
+            replace(own, failures=failures, good=0, failed_at=now),
         )
 
     def record_success(
@@ -90,20 +90,20 @@
 
         Requests sent before the first recorded failure are ignored.
         """
-        if sent_at < self._opened_at.get(incarnation, now):
+        if sent_at < self._first_observed_at.get(incarnation, now):
             return
-        known = self._own_observation(incarnation, now, stamp)
+        own = self._own_observation(incarnation, now, stamp)
         previous = self._observations[incarnation].get(self._own)
         failed_at = self.latest_failure_at(incarnation)
-        good = known.good if previous and previous.at > failed_at else 0
+        good = own.good if previous and previous.at > failed_at else 0
         if sent_at > failed_at:
             good += 1
         unsent = self._unsent.get(incarnation, 0) + 1
         send = not cleared or unsent >= _SUCCESSES_PER_UPDATE
         self._unsent[incarnation] = 0 if send else unsent
-        answers = known.answers + 1
+        answers = own.answers + 1
         self._store(
-            incarnation, replace(known, answers=answers, good=good), send=send
+            incarnation, replace(own, answers=answers, good=good), send=send
         )
 
     def latest_failure_at(self, incarnation: EngineIncarnation) -> float:
@@ -119,8 +119,8 @@
         """Store a peer's observation; return whether it is a newer version."""
         if received.observer == self._own:
             return False
-        known = self._observations.get(incarnation, {}).get(received.observer)
-        if known is not None and known.version >= received.version:
+        stored = self._observations.get(incarnation, {}).get(received.observer)
+        if stored is not None and stored.version >= received.version:
             return False
         self._store(incarnation, received)
         return True
@@ -147,7 +147,7 @@
         """Drop all observations of an incarnation that has ended."""
         for observer in self._observations.pop(incarnation, {}):
             self._revisions.pop((incarnation, observer), None)
-        self._opened_at.pop(incarnation, None)
+        self._first_observed_at.pop(incarnation, None)
         self._unsent.pop(incarnation, None)
 
     def expire(self, now: float) -> None:
@@ -167,19 +167,20 @@
         self, incarnation: EngineIncarnation, now: float, stamp: float
     ) -> Observation:
         """Return this process's observation, decayed, as its next version."""
-        known = self._observations.get(incarnation, {}).get(self._own)
-        if known is None:
+        previous = self._observations.get(incarnation, {}).get(self._own)
+        if previous is None:
             return Observation(self._own, now, round(stamp * _MS_PER_SECOND))
-        factor = decay_factor(now - known.at)
+        factor = decay_factor(now - previous.at)
         return replace(
-            known,
+            previous,
             at=now,
             # Versions must rise even if the wall clock is set back.
-            version=max(known.version + 1, round(stamp * _MS_PER_SECOND)),
+            version=max(previous.version + 1, round(stamp * _MS_PER_SECOND)),
             failures={
-                kind: count * factor for kind, count in known.failures.items()
+                kind: count * factor
+                for kind, count in previous.failures.items()
             },
-            answers=known.answers * factor,
+            answers=previous.answers * factor,
         )
 
     def _store(
@@ -189,7 +190,7 @@
         *,
         send: bool = True,
     ) -> None:
-        self._opened_at.setdefault(incarnation, observation.at)
+        self._first_observed_at.setdefault(incarnation, observation.at)
         self._observations.setdefault(incarnation, {})[observation.observer] = (
             observation
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_health/shared.py
@@ -131,9 +131,9 @@
             )
 
     def start_trial(self, views: Iterable[EngineView]) -> EngineView | None:
-        """Return an engine that this process is to try now, or None."""
+        """Start a trial that is due and return its engine, or None."""
         for view in views:
-            if view.paused and self._may_try(view):
+            if view.paused and self._may_start_trial(view):
                 incarnation = incarnation_of(view.engine)
                 self._trials[incarnation] = clock.uptime()
                 self._metrics.load.engine_trials += 1
@@ -202,7 +202,7 @@
             if incarnation in self._evidence.observations
         }
 
-    def _may_try(self, view: EngineView) -> bool:
+    def _may_start_trial(self, view: EngineView) -> bool:
         """Return whether a trial is due, and it is this process's turn."""
         now = clock.uptime()
         assessment = self.assess(view.engine)
