--- a/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_entry.py
@@ -94,23 +94,23 @@
             self.log,
             self.metrics,
         )
-        self._clients = HttpServer(
+        self._client_server = HttpServer(
             clients or settings.clients_address or '',
             self._answer_client,
             lambda: self.fleet.configuration.limits,
             clock.uptime,
             _max_client_connections(settings.descriptors),
         )
-        self._clients.on_accept_error = lambda reason: self.log.event(
+        self._client_server.on_accept_error = lambda reason: self.log.event(
             'client-not-taken', reason=reason
         )
-        self._clients.body_budget.max_bytes = int(
+        self._client_server.body_budget.max_bytes = int(
             settings.memory * _BODIES_MEMORY_SHARE
         )
         self._overload = OverloadDetector()
         self._sheds_connections = False
         self._stop: StopSchedule | None = None
-        self._readiness = HttpServer(
+        self._readiness_server = HttpServer(
             settings.ready_address or '',
             self._answer_ready,
             lambda: self.fleet.configuration.limits,
@@ -119,7 +119,7 @@
 
     def start(self) -> None:
         """Start the servers for clients and readiness checks."""
-        self._readiness.start()
+        self._readiness_server.start()
         gevent.spawn(self._accept_clients)
         gevent.spawn(self._monitor_overload)
 
@@ -167,20 +167,20 @@
         """
         stop = StopSchedule.start(self.settings.grace)
         self._stop = stop
-        self._clients.close_after_responses()
+        self._client_server.close_after_responses()
         gevent.sleep(stop.closes_at - stop.started_at)
-        self._clients.stop_accepting()
-        self.log.event('clients-refused', busy=self._clients.busy)
+        self._client_server.stop_accepting()
+        self.log.event('clients-refused', busy=self._client_server.busy)
         while stop.seconds_left > 0:
-            self._clients.close_idle()
-            if not self._clients.busy:
+            self._client_server.close_idle()
+            if not self._client_server.busy:
                 break
             gevent.sleep(_SHUTDOWN_POLL_SECONDS)
-        cut = self._clients.busy
-        if cut:
-            self._clients.abort_requests()
+        unfinished = self._client_server.busy
+        if unfinished:
+            self._client_server.abort_requests()
             gevent.sleep(_FLUSH_SECONDS)
-        self.log.event('left', cut=cut)
+        self.log.event('left', cut=unfinished)
         self.done.set()
 
     def answer_peer_call(self, request: Request, responder: Responder) -> None:
@@ -203,20 +203,21 @@
     def _accept_clients(self) -> None:
         """Accept clients once the configuration and engines are loaded."""
         with gevent.Timeout(_STARTUP_WAIT_SECONDS, exception=False):
-            while not self._is_fleet_known():
+            while not self._is_fleet_loaded():
                 gevent.sleep(_STARTUP_POLL_SECONDS)
-        self._clients.start()
+        self._client_server.start()
 
     def _monitor_overload(self) -> None:
         """Shed connections to entries of this hall during overload."""
         while True:
             due = clock.uptime() + _OVERLOAD_CHECK_SECONDS
             gevent.sleep(_OVERLOAD_CHECK_SECONDS)
-            late = max(0, clock.uptime() - due)
+            delay = max(0, clock.uptime() - due)
             usage = ResourceUse(
-                self._clients.body_budget.utilization, self._clients.utilization
+                self._client_server.body_budget.utilization,
+                self._client_server.utilization,
             )
-            if self._overload.update(late, usage):
+            if self._overload.update(delay, usage):
                 self.log.event(
                     'strain',
                     strained=self._overload.strained,
@@ -228,10 +229,10 @@
             others = self.peers.strained_in_hall() if own else ()
             self._sheds_connections = sheds_connections(own=own, others=others)
 
-    def _is_fleet_known(self) -> bool:
-        known = self.fleet.configuration.current is not None
+    def _is_fleet_loaded(self) -> bool:
+        has_configuration = self.fleet.configuration.current is not None
         return (
-            known
+            has_configuration
             and self.fleet.engines_watch.current
             and self.fleet.suspects_watch.current
         )
@@ -309,7 +310,7 @@
     def _reject_late(
         self, request: Request, responder: Responder, stop: StopSchedule
     ) -> None:
-        """Reject a request that arrives after the end of new work."""
+        """Reject a request that arrives after the listener was closed."""
         self.log.event(
             'late-request',
             target=request.target,
@@ -319,13 +320,13 @@
         responder.answer(HTTPStatus.SERVICE_UNAVAILABLE, _RETRY_AFTER_HEADERS)
 
     def _answer_unrouted(
-        self, request: Request, responder: Responder, name: str
+        self, request: Request, responder: Responder, request_id: str
     ) -> None:
         """Answer 404, or 503 while the configuration may be outdated."""
         current = self.fleet.config_watch.current
         self.log.event(
             'no-route',
-            request=name,
+            request=request_id,
             path=request.path,
             version=self.fleet.configuration.version,
             current=current,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/client.py
@@ -70,7 +70,7 @@
 
     @property
     def current(self) -> _PartialResponse:
-        """Response that is read at present."""
+        """Response that is being read."""
         if not self._responses:
             self._responses.append(_PartialResponse())
         return self._responses[0]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/server.py
@@ -2,7 +2,7 @@
 
 import contextlib
 import errno
-import socket as constants
+import socket as stdlib_socket
 from collections.abc import Callable
 from http import HTTPStatus
 from operator import attrgetter
@@ -76,7 +76,7 @@
             set_tcp_options(self._sock)
             self._read_all()
         except OSError:
-            # The client is gone, so no response can be sent.
+            # The client has disconnected, so no response can be sent.
             self._closing = True
         finally:
             if self._task is not None:
@@ -216,7 +216,7 @@
 
     def __init__(
         self,
-        address: str | constants.socket,
+        address: str | stdlib_socket.socket,
         handler: Handler,
         limits: Callable[[], ClientLimits],
         now: Callable[[], float],
--- a/packages/bendlead-gateway/src/bendlead_gateway/_http/sockets.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_http/sockets.py
@@ -1,6 +1,6 @@
 """TCP sockets that detect an unreachable peer within seconds."""
 
-import socket as constants
+import socket as stdlib_socket
 
 from gevent import socket
 
@@ -14,13 +14,13 @@
 
 def set_tcp_options(sock: socket.socket) -> None:
     """Set short keep-alive and retransmission timeouts on a socket."""
-    level = constants.IPPROTO_TCP
-    sock.setsockopt(level, constants.TCP_NODELAY, 1)
-    sock.setsockopt(level, constants.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
-    sock.setsockopt(constants.SOL_SOCKET, constants.SO_KEEPALIVE, 1)
-    sock.setsockopt(level, constants.TCP_KEEPIDLE, _PROBE_SECONDS)
-    sock.setsockopt(level, constants.TCP_KEEPINTVL, _PROBE_SECONDS)
-    sock.setsockopt(level, constants.TCP_KEEPCNT, _PROBE_COUNT)
+    level = stdlib_socket.IPPROTO_TCP
+    sock.setsockopt(level, stdlib_socket.TCP_NODELAY, 1)
+    sock.setsockopt(level, stdlib_socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
+    sock.setsockopt(stdlib_socket.SOL_SOCKET, stdlib_socket.SO_KEEPALIVE, 1)
+    sock.setsockopt(level, stdlib_socket.TCP_KEEPIDLE, _PROBE_SECONDS)
+    sock.setsockopt(level, stdlib_socket.TCP_KEEPINTVL, _PROBE_SECONDS)
+    sock.setsockopt(level, stdlib_socket.TCP_KEEPCNT, _PROBE_COUNT)
 
 
 def split_address(address: str) -> tuple[str, int]:
@@ -34,7 +34,7 @@
 
     Raise OSError if it fails.
     """
-    sock = socket.socket(constants.AF_INET, constants.SOCK_STREAM)
+    sock = socket.socket(stdlib_socket.AF_INET, stdlib_socket.SOCK_STREAM)
     sock.settimeout(timeout)
     try:
         sock.connect(split_address(address))
@@ -45,12 +45,12 @@
     return sock
 
 
-def listen(address: str | constants.socket) -> socket.socket:
+def listen(address: str | stdlib_socket.socket) -> socket.socket:
     """Open a listening socket, or wrap one that is listening already."""
-    if isinstance(address, constants.socket):
+    if isinstance(address, stdlib_socket.socket):
         return socket.socket(fileno=address.detach())
-    sock = socket.socket(constants.AF_INET, constants.SOCK_STREAM)
-    sock.setsockopt(constants.SOL_SOCKET, constants.SO_REUSEADDR, 1)
+    sock = socket.socket(stdlib_socket.AF_INET, stdlib_socket.SOCK_STREAM)
+    sock.setsockopt(stdlib_socket.SOL_SOCKET, stdlib_socket.SO_REUSEADDR, 1)
     sock.bind(split_address(address))
     sock.listen(_BACKLOG)
     return sock
--- a/packages/bendlead-gateway/src/bendlead_gateway/_metrics.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_metrics.py
@@ -79,7 +79,7 @@
         self.over_limit: Counter[str] = Counter()
         #: Failed attempts at engines, by step.
         self.engine_failures: Counter[str] = Counter()
-        #: Runs of batch items, by how they ended.
+        #: Runs of batch items, by outcome.
         self.items: Counter[str] = Counter()
         #: Engine crashes during requests of this process.
         self.engine_ends = 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_node.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_node.py
@@ -49,7 +49,7 @@
     idle_seconds=_PEER_IDLE_SECONDS,
 )
 _MAINTENANCE_INTERVAL_SECONDS = 1.0
-_MS = 1000
+_MS_PER_SECOND = 1000
 #: Changes of the peer list are applied in groups, because the processes of a
 #: deployment start and register at nearly the same time.
 _PEER_CHANGES_DELAY_SECONDS = 0.5
@@ -186,7 +186,7 @@
             heard=self.peers.claims.direct_claims(),
             online={name: count for name, count in own.online.items() if count},
             batch={name: count for name, count in own.batch.items() if count},
-            run_ms=round(self.fleet.pace.run_seconds * _MS),
+            run_ms=round(self.fleet.pace.run_seconds * _MS_PER_SECOND),
             shards=[],
             paces=self._pace_updates.outgoing(),
             revisions=self.fleet.revisions(),
@@ -198,11 +198,11 @@
 
     def state(self) -> dict[str, object]:
         """Return the state dump of the debug endpoint."""
-        known = self.fleet.configuration.current
+        configuration = self.fleet.configuration.current
         return {
             'node': self.settings.node,
             'leaving': self.draining,
-            'configuration': known.version if known else None,
+            'configuration': configuration.version if configuration else None,
             'engines': {
                 engine.engine: engine.state.value
                 for engine in self.fleet.engines.all()
@@ -246,11 +246,13 @@
         responder.answer(HTTPStatus.OK, _JSON if full else (), response)
 
     def _send_configuration(self, responder: Responder) -> None:
-        known = self.fleet.configuration.current
-        if known is None:
+        configuration = self.fleet.configuration.current
+        if configuration is None:
             responder.answer(HTTPStatus.NOT_FOUND)
         else:
-            responder.answer(HTTPStatus.OK, _JSON, msgspec.json.encode(known))
+            responder.answer(
+                HTTPStatus.OK, _JSON, msgspec.json.encode(configuration)
+            )
 
     def _run_maintenance(self) -> None:
         suspension = SuspensionDetector()
@@ -286,6 +288,10 @@
             )
 
 
-def _age_ms(at: float) -> int:
-    """Return the milliseconds since a moment, or -1 if it is 0 (never)."""
-    return round((clock.uptime() - at) * _MS) if at else -1
+def _age_ms(timestamp: float) -> int:
+    """Return the milliseconds since a time, or -1 if it is 0 (never)."""
+    return (
+        round((clock.uptime() - timestamp) * _MS_PER_SECOND)
+        if timestamp
+        else -1
+    )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -78,7 +78,7 @@
         gevent.spawn(self._probe_store)
 
     def retire(self) -> None:
-        """Take over no more shards, and report so to peers."""
+        """Stop taking over shards, and report to peers that this node drains."""
         self.draining = True
 
     def report(self) -> NodeReport:
@@ -109,19 +109,19 @@
 
     def finish_calls(self) -> None:
         """Wait for open job calls, up to the drain timeout."""
-        until = clock.uptime() + _DRAIN_SECONDS
-        while self._open_calls and clock.uptime() < until:
+        deadline = clock.uptime() + _DRAIN_SECONDS
+        while self._open_calls and clock.uptime() < deadline:
             gevent.sleep(_DRAIN_POLL_SECONDS)
 
     def _can_write(self) -> bool:
-        """Tell whether this process can write to the object service.
+        """Return whether this process can write to the object service.
 
-        An open watch alone does not show it: it may stay open while new calls
+        An open watch alone does not prove this: it may stay open while new calls
         are rejected.
         """
         stuck = any(owned.stuck for owned in self._shard_manager.owned.values())
-        reached = self.peers_watch.current or self.store.uses_peers
-        return reached and not stuck
+        reachable = self.peers_watch.current or self.store.uses_peers
+        return reachable and not stuck
 
     def _probe_store(self) -> None:
         """Fetch an object regularly; open watches do not show an outage."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_reload.py
@@ -71,9 +71,9 @@
         return latest
 
 
-def _changed_fields(before: NodeSettings, after: NodeSettings) -> list[str]:
+def _changed_fields(previous: NodeSettings, latest: NodeSettings) -> list[str]:
     return [
         field.name
         for field in fields(NodeSettings)
-        if getattr(before, field.name) != getattr(after, field.name)
+        if getattr(previous, field.name) != getattr(latest, field.name)
     ]
--- a/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
@@ -6,22 +6,22 @@
 #: New work is accepted for this long after SIGTERM: the platform checks
 #: readiness once a second and removes a node after two failures.
 _ACCEPT_SECONDS = 2.5
-#: Upper limit of the above, as a share of the grace period.
+#: Upper limit of ``_ACCEPT_SECONDS``, as a share of the grace period.
 _MAX_ACCEPT_SHARE = 0.5
 #: The process ends this long before the platform would kill it.
 _MARGIN_SECONDS = 0.6
-#: Upper limit of the margin, as a share of the grace period. It must be less
+#: Upper limit of ``_MARGIN_SECONDS``, as a share of the grace period. It must be less
 #: than a sixth: running work is entitled to the first five sixths.
 _MAX_MARGIN_SHARE = 0.1
 
 
 class StopSchedule(Struct, frozen=True):
-    """Moments of one shutdown, in seconds of ``clock.uptime``."""
+    """Times of one shutdown, in seconds of ``clock.uptime``."""
 
     started_at: float
-    #: From here on new work is rejected on all connections.
+    #: New work is rejected from this time on, on all connections.
     closes_at: float
-    #: Work that still runs is aborted.
+    #: Work that still runs at this time is aborted.
     ends_at: float
 
     @classmethod
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_detector.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_detector.py
@@ -1,8 +1,8 @@
 """Detect engine crashes, and the requests that were running at that moment.
 
 A broken response alone is no crash: the engine may have dropped one request, or
-a link failed. An engine has crashed where its address then refuses connections,
-or where it leaves the list without having been draining.
+a link failed. An engine has crashed if its address then refuses connections, or
+if it leaves the list without having been draining.
 """
 
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 #: of a process may close some ms after its connections.
 _PROBE_PAUSES_SECONDS = (0.03, 0.27)
 _PROBE_TIMEOUT_SECONDS = 0.15
-#: Longest wait of a request for the first probe.
+#: Longest time that a request waits for the first probe.
 _AWAIT_PROBE_SECONDS = 0.1
 #: Time for which broken responses are remembered. An engine whose heartbeats
 #: stop leaves the list after three intervals of 1.2 s and some more.
@@ -31,7 +31,7 @@
 #: Bytes sent before a crash may be read this long after it is noticed.
 _READ_DELAY_SECONDS = 0.1
 #: A response that broke off sooner than this and without a byte may come from a
-#: proxy in front of an engine that is already gone.
+#: proxy in front of an engine that has already crashed.
 _EARLY_CLOSE_SECONDS = 0.03
 #: A request abandoned this long before a crash may still have been running.
 _ABANDONED_SECONDS = 3.0
@@ -95,7 +95,7 @@
         crash = self._possible.get(_incarnation(engine))
         if crash is not None and broken.sent_at > crash.noticed_at:
             if not self._is_running(crash, broken):
-                # The engine was gone before this request was sent: a proxy in
+                # The engine had crashed before this request was sent: a proxy in
                 # front of it accepted the connection.
                 return
             crash = None
@@ -135,7 +135,7 @@
     def _is_running(
         self, crash: _PossibleCrash, broken: BrokenResponse
     ) -> bool:
-        """Return whether an engine has responded since a broken response."""
+        """Return whether the engine of an unconfirmed crash still responds."""
         if crash.confirmed:
             return False
         responded = self._last_response_at(crash.engine.engine)
@@ -195,10 +195,10 @@
             return
         crash.confirmed = True
         since = crash.noticed_at - _ABANDONED_SECONDS
-        for digest, at in self._abandoned.pop(
+        for digest, abandoned_at in self._abandoned.pop(
             _incarnation(crash.engine), {}
         ).items():
-            if at > since:
+            if abandoned_at > since:
                 crash.digests.add(digest)
         self._metrics.engine_ends += 1
         self._log.event(
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_history.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_history.py
@@ -21,8 +21,8 @@
 MAX_QUARANTINE_SECONDS = 86_400.0
 #: First quarantine of an online request; it doubles with each further crash.
 REQUEST_QUARANTINE_SECONDS = 3600.0
-#: First quarantine of a batch item. It is shorter: an item is lost where its
-#: retention, a minute or more, ends before it may run again.
+#: First quarantine of a batch item. It is shorter: an item is lost if its
+#: retention, which may be only a minute, ends before it may run again.
 ITEM_QUARANTINE_SECONDS = 15.0
 #: Bound of memory, by eviction of the oldest suspects.
 _MAX_SUSPECTS = 4096
@@ -83,7 +83,7 @@
         return suspect.record if suspect else SuspectRecord(digest=digest)
 
     def crash_count(self, digest: RequestDigest) -> int:
-        """Count the engine crashes of a request."""
+        """Count the engine crashes while a request was running."""
         return len(self.record(digest).ends)
 
     def remaining_quarantine(
@@ -95,16 +95,16 @@
         """
         if digest not in self._quarantined:
             return 0
-        ends = self.record(digest).ends
-        latest = max(ends.values()) / _MS_PER_SECOND
-        return max(0, latest + _quarantine_seconds(len(ends), first) - now)
+        crashes = self.record(digest).ends
+        latest = max(crashes.values()) / _MS_PER_SECOND
+        return max(0, latest + _quarantine_seconds(len(crashes), first) - now)
 
     def add_crash(
         self, digest: RequestDigest, incarnation: str, now: float
     ) -> bool:
         """Add an engine crash to a request; return whether it was unknown."""
-        ends = {incarnation: round(now * _MS_PER_SECOND)}
-        return self.merge(SuspectRecord(digest=digest, ends=ends), now)
+        crashes = {incarnation: round(now * _MS_PER_SECOND)}
+        return self.merge(SuspectRecord(digest=digest, ends=crashes), now)
 
     def clear(self, digest: RequestDigest, now: float) -> bool:
         """Drop the crashes of a request; return whether there were any."""
@@ -136,7 +136,7 @@
         """Remove the suspects that have not changed for too long."""
         for digest, suspect in list(self._suspects.items()):
             if now - _latest_change(suspect.record) > MAX_QUARANTINE_SECONDS:
-                self._forget(digest)
+                self._remove(digest)
 
     def _put(
         self, digest: RequestDigest, record: SuspectRecord, now: float
@@ -149,7 +149,7 @@
         else:
             self._quarantined.discard(digest)
         if len(self._suspects) > _MAX_SUSPECTS:
-            self._forget(self._choose_evicted())
+            self._remove(self._choose_evicted())
 
     def _choose_evicted(self) -> RequestDigest:
         """Return the oldest suspect, one not quarantined if there is any."""
@@ -160,39 +160,41 @@
         )
         return next(not_quarantined, next(iter(self._suspects)))
 
-    def _forget(self, digest: RequestDigest) -> None:
+    def _remove(self, digest: RequestDigest) -> None:
         self._suspects.pop(digest)
         self._quarantined.discard(digest)
 
 
-def _quarantine_seconds(ends: int, first: float) -> float:
-    if ends >= _CRASHES_UNTIL_MAX_QUARANTINE:
+def _quarantine_seconds(crashes: int, first: float) -> float:
+    if crashes >= _CRASHES_UNTIL_MAX_QUARANTINE:
         return MAX_QUARANTINE_SECONDS
-    doubled = first * 2 ** (ends - CRASHES_UNTIL_QUARANTINE)
+    doubled = first * 2 ** (crashes - CRASHES_UNTIL_QUARANTINE)
     return min(MAX_QUARANTINE_SECONDS, doubled)
 
 
 def _merge(known: SuspectRecord, received: SuspectRecord) -> SuspectRecord:
     cleared = max(known.cleared_ms, received.cleared_ms)
-    ends = dict(_after_clear(known.ends, cleared))
-    for incarnation, ended in _after_clear(received.ends, cleared):
+    crashes = dict(_after_clear(known.ends, cleared))
+    for incarnation, crashed_ms in _after_clear(received.ends, cleared):
         # Several processes notice the same crash at different times.
-        ends[incarnation] = min(ended, ends.get(incarnation, ended))
-    newest = sorted(ends.items(), key=_time_of)[-_MAX_CRASHES:]
+        crashes[incarnation] = min(
+            crashed_ms, crashes.get(incarnation, crashed_ms)
+        )
+    newest = sorted(crashes.items(), key=_time_of)[-_MAX_CRASHES:]
     return replace(known, ends=dict(newest), cleared_ms=cleared)
 
 
 def _after_clear(
-    ends: Mapping[str, int], cleared: int
+    crashes: Mapping[str, int], cleared: int
 ) -> Iterator[tuple[str, int]]:
     """Yield the crashes after the last complete response."""
-    for incarnation, ended in ends.items():
-        if ended > cleared:
-            yield incarnation, ended
+    for incarnation, crashed_ms in crashes.items():
+        if crashed_ms > cleared:
+            yield incarnation, crashed_ms
 
 
-def _time_of(end: tuple[str, int]) -> int:
-    return end[1]
+def _time_of(crash: tuple[str, int]) -> int:
+    return crash[1]
 
 
 def _latest_change(record: SuspectRecord) -> float:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspect_store.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspect_store.py
@@ -94,14 +94,14 @@
             'suspect-not-kept', digest=digest, reason=written.err_value
         )
         # Another process, or this call without a response, may have written it.
-        found = self._store.fetch(key)
-        if isinstance(found, Err):
+        fetched = self._store.fetch(key)
+        if isinstance(fetched, Err):
             return False
-        if found.ok_value is None:
+        if fetched.ok_value is None:
             self._versions.pop(digest, None)
             return False
-        self._load(found.ok_value)
-        stored = _decode(found.ok_value)
+        self._load(fetched.ok_value)
+        stored = _decode(fetched.ok_value)
         return stored == self._history.record(digest)
 
     def _release(self, digest: RequestDigest) -> None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspects.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/suspects.py
@@ -28,7 +28,7 @@
 
 
 class Suspects:
-    """Track the requests under which engines crashed, here or at peers."""
+    """Track requests that were running when engines crashed, also at peers."""
 
     def __init__(
         self,
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/admission.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/admission.py
@@ -83,8 +83,8 @@
             entries=self.limits.group.entries,
         )
         rate = team.rate / self.limits.group.reachable
-        over = OverLimit(team.name, wait, rate, facts.timeout)
-        retry_after = self._retry_times.assign(over, random.random)
+        rejected = OverLimit(team.name, wait, rate, facts.timeout)
+        retry_after = self._retry_times.assign(rejected, random.random)
         responder.answer(
             HTTPStatus.TOO_MANY_REQUESTS,
             [('Retry-After', f'{retry_after:.3f}')],
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
@@ -161,7 +161,7 @@
                 self._add_reported(usage, added, overdue=overdue)
 
     def adopt_levels(self, levels: Mapping[str, float]) -> None:
-        """Take over the levels of a peer, shortly after the start only."""
+        """Raise levels to those of a peer, only shortly after the start."""
         if not self.needs_levels:
             return
         for name, level in levels.items():
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/own_counts.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/own_counts.py
@@ -20,8 +20,8 @@
 class OwnCounts(Struct):
     """Count admitted requests by team, also for the fair shares.
 
-    Counts are kept when a team gets or loses its limit: peers would take a
-    smaller count for requests that did not run.
+    Counts are not reset when a team gets or loses its limit: peers interpret
+    a decrease as requests that did not run.
     """
 
     shares: TeamShares | None = None
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/quota.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/quota.py
@@ -17,7 +17,7 @@
 #: Part of the tolerance for what unreachable entries may admit, so that a few
 #: restarts don't lower the limits elsewhere.
 _UNREACHABLE_TOLERANCE_SHARE = 0.35
-#: Least capacity of a minority, where one request for each entry is within the
+#: Minimum capacity of a minority, where one request for each entry is within the
 #: tolerance.
 _MINORITY_REQUESTS = 1.0
 
@@ -57,9 +57,9 @@
     tolerance = _tolerance(team, window)
     capacity = max_burst(team, window)
     if not group.majority:
-        least = _MINORITY_REQUESTS if group.entries <= tolerance else 0
+        min_capacity = _MINORITY_REQUESTS if group.entries <= tolerance else 0
         return Allowance(
-            team.rate * group.share, max(least, capacity * group.share)
+            team.rate * group.share, max(min_capacity, capacity * group.share)
         )
     unreachable = (1 - group.share) * total
     covered = tolerance * _UNREACHABLE_TOLERANCE_SHARE
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/reported_counts.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/reported_counts.py
@@ -8,10 +8,9 @@
 
 #: Weight of the newest rate in the moving average.
 _SMOOTHING_FACTOR = 0.5
-#: Age from which on a report counts no more: its entry is unreachable then, and
-#: has left the group.
+#: Age from which a report is ignored: its entry is then treated as unreachable.
 _MAX_REPORT_AGE_SECONDS = 1.5
-#: Least interval between two counts from which a rate is computed.
+#: Minimum interval between two counts for computing a rate.
 _MIN_INTERVAL_SECONDS = 0.02
 
 
@@ -94,7 +93,7 @@
         return added
 
     def estimate_unreported(self, team: TeamName, now: float) -> float:
-        """Estimate a team's requests that the entry admitted since then."""
+        """Estimate a team's requests that the entry admitted since its report."""
         known = self._teams.get(team)
         if known is None:
             return 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/retry_times.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/retry_times.py
@@ -1,6 +1,6 @@
 """Retry times of requests over their team's limit.
 
-Spreads the retries: requests rejected together must not be retried as one burst
+Retries are spread: requests rejected together must not be retried as one burst
 of which the limit admits a single request.
 """
 
@@ -45,14 +45,16 @@
     def assign(self, request: OverLimit, draw: RandomSource) -> float:
         """Return the seconds after which a request should be retried."""
         now = self._now()
-        first = max(now + request.wait, self._next_free.pop(request.team, 0.0))
-        delay = first - now
+        earliest = max(
+            now + request.wait, self._next_free.pop(request.team, 0.0)
+        )
+        delay = earliest - now
         max_delay = self._max_delay(request)
         if delay < max_delay:
-            self._set_next_free(request.team, first + 1 / request.rate)
+            self._set_next_free(request.team, earliest + 1 / request.rate)
             return delay + draw() * max(request.wait, _MIN_SPREAD_SECONDS)
-        # No time is free that the client would accept.
-        self._set_next_free(request.team, first)
+        # All retry times that the client would accept are taken.
+        self._set_next_free(request.team, earliest)
         return request.wait + draw() * max(
             _MIN_SPREAD_SECONDS, max_delay - request.wait
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/shares.py
@@ -20,10 +20,10 @@
 #: Requests of each team that don't count towards its share, so that random
 #: arrivals don't put a small team over it.
 _FREE_REQUESTS = 2.0
-#: Least time between two computations of the shares.
+#: Minimum interval between two computations of the shares.
 _UPDATE_INTERVAL_SECONDS = 0.1
-#: Scale at which the sums are scaled back to 1, and teams below the negligible
-#: number of requests are dropped.
+#: Above this scale, the sums are divided by it and it restarts at 1. Teams with
+#: fewer than the negligible number of requests are then dropped.
 _MAX_SCALE = 1e6
 _NEGLIGIBLE_REQUESTS = 1e-3
 
@@ -97,8 +97,8 @@
         share = snapshot.by_priority.get(team.priority)
         if share is None:
             return ShareUse(self._sums.get(team.name, 0.0) / scale)
-        # Requests as of the time of the share: those of now could exceed the
-        # share of an only team whose load rises.
+        # Use the requests as of the snapshot: the current ones could exceed
+        # the share of a single active team whose load rises.
         used = snapshot.used.get(team.name, 0.0)
         weight = team.rate or snapshot.default_weight
         return ShareUse(used, share * weight + _FREE_REQUESTS)
--- a/packages/bendlead-gateway/src/bendlead_gateway/json_values.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/json_values.py
@@ -25,7 +25,7 @@
 
 
 def _is_json(body: bytes) -> bool:
-    """Tell whether bytes are a valid JSON object or list."""
+    """Return whether bytes are a valid JSON object or list."""
     if body[:1] not in {b'{', b'['}:
         return False
     try:
--- a/packages/bendlead-gateway/src/bendlead_gateway/settings_table.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/settings_table.py
@@ -12,21 +12,21 @@
     """Reads fields of one table; errors name the file, table and field."""
 
     def __init__(self, path: str, name: str, fields: Mapping[str, Any]) -> None:
-        self._where = f'{path}, table [{name}]' if name else path
+        self._location = f'{path}, table [{name}]' if name else path
         self._fields = fields
 
     def text(self, name: str) -> str:
         """Return a required string; raise SettingsError."""
         field = self._fields.get(name)
         if not isinstance(field, str):
-            raise SettingsError(f'{self._where}: {name} must be a string')
+            raise SettingsError(f'{self._location}: {name} must be a string')
         return field
 
     def number(self, name: str) -> float:
         """Return a required number; raise SettingsError."""
         field = self._fields.get(name)
         if isinstance(field, bool) or not isinstance(field, int | float):
-            raise SettingsError(f'{self._where}: {name} must be a number')
+            raise SettingsError(f'{self._location}: {name} must be a number')
         return field
 
     def optional_number(self, name: str, default: float) -> float:
