--- a/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_owner.py
@@ -78,7 +78,7 @@
         gevent.spawn(self._probe_store)
 
     def retire(self) -> None:
-        """Stop taking over shards, and report to peers that this node drains."""
+        """Stop taking over shards, and tell peers that this node drains."""
         self.draining = True
 
     def report(self) -> NodeReport:
@@ -116,7 +116,7 @@
     def _can_write(self) -> bool:
         """Return whether this process can write to the object service.
 
-        An open watch alone does not prove this: it may stay open while new calls
+        An open watch alone does not prove it: it may stay open while new calls
         are rejected.
         """
         stuck = any(owned.stuck for owned in self._shard_manager.owned.values())
--- a/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_stopping.py
@@ -10,8 +10,8 @@
 _MAX_ACCEPT_SHARE = 0.5
 #: The process ends this long before the platform would kill it.
 _MARGIN_SECONDS = 0.6
-#: Upper limit of ``_MARGIN_SECONDS``, as a share of the grace period. It must be less
-#: than a sixth: running work is entitled to the first five sixths.
+#: Upper limit of ``_MARGIN_SECONDS``, as a share of the grace period. It must
+#: be less than a sixth: running work is entitled to the first five sixths.
 _MAX_MARGIN_SHARE = 0.1
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_detector.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_suspects/crash_detector.py
@@ -95,8 +95,8 @@
         crash = self._possible.get(_incarnation(engine))
         if crash is not None and broken.sent_at > crash.noticed_at:
             if not self._is_running(crash, broken):
-                # The engine had crashed before this request was sent: a proxy in
-                # front of it accepted the connection.
+                # The engine had crashed before this request was sent: a proxy
+                # in front of it accepted the connection.
                 return
             crash = None
         if crash is None:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/limits.py
@@ -53,21 +53,21 @@
         group: Callable[[], EntryGroup],
         team_named: Callable[[TeamName], Team | None],
         now: Callable[[], float] = clock.uptime,
-        life: int = 0,
+        incarnation: int = 0,
         shares: TeamShares | None = None,
     ) -> None:
         """Start with full buckets.
 
-        ``life`` identifies this start of the process; the default is the time
-        of the start (Unix ms). ``shares`` receives the requests of all teams,
-        also of those without a limit.
+        ``incarnation`` identifies this start of the process; the default is
+        the time of the start (Unix ms). ``shares`` receives the requests of
+        all teams, also of those without a limit.
         """
         self._window = window
         self._find_group = group
         self._team_named = team_named
         self._now = now
         self._started = now()
-        self._life = life or round(time.time() * _MS_PER_SECOND)
+        self._incarnation = incarnation or round(time.time() * _MS_PER_SECOND)
         self._usage: dict[TeamName, _Usage] = {}
         self._own = OwnCounts(shares)
         self._reported: dict[NodeName, EntryCounts] = {}
@@ -87,7 +87,7 @@
     @property
     def counts(self) -> TeamCounts:
         """The requests admitted here, of teams with recent requests."""
-        return TeamCounts(self._life, self._own.recent(self._now()))
+        return TeamCounts(self._incarnation, self._own.recent(self._now()))
 
     def levels(self) -> dict[TeamName, float]:
         """Return the bucket level of each team with requests in its bucket."""
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/quota.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/quota.py
@@ -17,7 +17,7 @@
 #: Part of the tolerance for what unreachable entries may admit, so that a few
 #: restarts don't lower the limits elsewhere.
 _UNREACHABLE_TOLERANCE_SHARE = 0.35
-#: Minimum capacity of a minority, where one request for each entry is within the
+#: Minimum capacity of a minority if one request for each entry is within the
 #: tolerance.
 _MINORITY_REQUESTS = 1.0
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_teams/reported_counts.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_teams/reported_counts.py
@@ -93,7 +93,7 @@
         return added
 
     def estimate_unreported(self, team: TeamName, now: float) -> float:
-        """Estimate a team's requests that the entry admitted since its report."""
+        """Estimate a team's requests at the entry since its last report."""
         known = self._teams.get(team)
         if known is None:
             return 0
--- a/packages/bendlead-gateway/src/bendlead_gateway/dialect.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/dialect.py
@@ -67,13 +67,13 @@
         self,
         headers: Headers,
         engine: EngineId,
-        left: float,
+        seconds_left: float,
         resume_after: int | None,
         team: TeamName,
     ) -> list[tuple[str, str]]:
         """Return the headers of an online request to an engine.
 
-        ``left`` is the time until the deadline in seconds.
+        ``seconds_left`` is the time until the deadline.
         """
 
     def item_headers(
--- a/testing/src/bendlead_testing/team_replay.py
+++ b/testing/src/bendlead_testing/team_replay.py
@@ -162,7 +162,7 @@
             lambda: self._group(entry),
             {self._load.team.name: self._load.team}.get,
             self._clock,
-            life=self._starts,
+            incarnation=self._starts,
         )
         return made
 
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -193,7 +193,7 @@
             lambda: EntryGroup(2, 2),
             {TEAM: _LARGE}.get,
             lambda: self.now,
-            life=1,
+            incarnation=1,
         )
         # After the startup time, and with the whole burst available.
         self.now += 10
