--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/api.py
@@ -29,7 +29,7 @@
     TeamName,
 )
 
-_AWAY = HTTPStatus.SERVICE_UNAVAILABLE
+_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
 _FULL = HTTPStatus.TOO_MANY_REQUESTS
 _JSON = (('Content-Type', 'application/json'),)
 _RETRY_AFTER = (('Retry-After', '0.3'),)
@@ -71,7 +71,7 @@
         host = request.host
         shard = self._manager.owned.get(shard_of(host))
         if shard is None:
-            responder.answer(_AWAY, _NOT_OWNED)
+            responder.answer(_UNAVAILABLE, _NOT_OWNED)
         elif call is None:
             self._submit(request, responder, shard)
         else:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/batch_capacity.py
@@ -74,22 +74,21 @@
     def free_slots(self, service: ServiceName) -> ItemSlots:
         """Return the slots of a service that items may use."""
         view = self._view(service)
-        led = {
+        first_on = {
             engine.name
             for engine in view.engines
             if self._precedence.comes_first(engine.name)
         }
-        return ItemSlots(view.engines, view.headroom, led)
+        return ItemSlots(view.engines, view.headroom, first_on)
 
     def lacks_online_slots(
-        self, service: ServiceName, refused_seconds: float
+        self, service: ServiceName, seconds_since_refusal: float
     ) -> bool:
         """Return whether online requests were refused for lack of slots.
 
-        ``refused_seconds`` is the time since the last refusal. Engines that
-        take no new requests do not count.
+        Engines that take no new requests do not count.
         """
-        if not refused_recently(refused_seconds):
+        if not refused_recently(seconds_since_refusal):
             return False
         engines = self._view(service).engines
         online = sum(engine.online for engine in engines)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/candidates.py
@@ -31,7 +31,7 @@
     """An item that is ready to start, with its rank."""
 
     urgency: Urgency
-    board: OwnedShard
+    shard: OwnedShard
     job: OwnedJob
     progress: Progress
     route: Route
@@ -62,15 +62,15 @@
 
     def __init__(
         self,
-        keeper: ShardManager,
+        manager: ShardManager,
         fleet: Fleet,
-        pace: ItemDurations,
+        durations: ItemDurations,
         metrics: Metrics,
         give_up: GiveUp,
     ) -> None:
-        self._keeper = keeper
+        self._manager = manager
         self._fleet = fleet
-        self._pace = pace
+        self._durations = durations
         self._metrics = metrics
         self._give_up = give_up
         self._fair_order = FairOrder()
@@ -78,19 +78,19 @@
     def ranked(self) -> list[Candidate]:
         """Return the items that are ready to start, in the order to run."""
         found: list[Candidate] = []
-        for board, job, progress in self._waiting():
+        for shard, job, progress in self._waiting():
             route = self._fleet.configuration.match(
                 job.host, progress.item.path
             )
             if route is None:
-                self._give_up_unrouted(board, job, progress)
+                self._give_up_unrouted(shard, job, progress)
             elif _expired(job, route):
-                self._give_up(board, job, progress)
+                self._give_up(shard, job, progress)
             elif self._quarantined(job, progress):
-                self._postpone_quarantined(board, job, progress, route)
+                self._postpone_quarantined(shard, job, progress, route)
             else:
                 urgency = self.urgency(job, progress, route)
-                found.append(Candidate(urgency, board, job, progress, route))
+                found.append(Candidate(urgency, shard, job, progress, route))
         if not self._fleet.configuration.requires_key:
             found.sort(key=_urgency_of)
             return found
@@ -104,14 +104,14 @@
 
     def remaining_seconds(self, progress: Progress) -> float:
         """Estimate the seconds that an item still needs on an engine."""
-        return self._pace.left(progress.run_seconds)
+        return self._durations.remaining_seconds(progress.run_seconds)
 
-    def wait_cost(
+    def timing(
         self, job: OwnedJob, progress: Progress, route: Route
     ) -> ItemTiming:
-        """Return whether waiting would cost an item its target."""
+        """Return whether an item can be deferred without missing its target."""
         return item_timing(
-            self._pace.spare(
+            self._durations.spare(
                 job_age_seconds(job),
                 progress.run_seconds,
                 route.run_target,
@@ -123,7 +123,7 @@
     ) -> Urgency:
         """Compute the urgency of one item."""
         accepted_at = job.state.accepted.accepted_at
-        return self._pace.urgency(
+        return self._durations.urgency(
             accepted_at,
             job_age_seconds(job),
             progress.run_seconds,
@@ -133,13 +133,13 @@
     def _waiting(self) -> Iterator[_Waiting]:
         """Yield the items of owned jobs that wait for a slot."""
         now = clock.uptime()
-        for board in list(self._keeper.owned.values()):
-            for job in list(board.jobs.values()):
+        for shard in list(self._manager.owned.values()):
+            for job in list(shard.jobs.values()):
                 for progress in list(job.ready_items(now)):
-                    yield board, job, progress
+                    yield shard, job, progress
 
     def _give_up_unrouted(
-        self, board: OwnedShard, job: OwnedJob, progress: Progress
+        self, shard: OwnedShard, job: OwnedJob, progress: Progress
     ) -> None:
         """Give up an item whose route is gone.
 
@@ -150,7 +150,7 @@
             self._fleet.config_watch.current
             and self._fleet.configuration.current
         ):
-            self._give_up(board, job, progress)
+            self._give_up(shard, job, progress)
 
     def _quarantined(self, job: OwnedJob, progress: Progress) -> bool:
         remaining_seconds = self._fleet.suspects.remaining_quarantine(
@@ -159,14 +159,14 @@
         return remaining_seconds > 0
 
     def _postpone_quarantined(
-        self, board: OwnedShard, job: OwnedJob, progress: Progress, route: Route
+        self, shard: OwnedShard, job: OwnedJob, progress: Progress, route: Route
     ) -> None:
         """Postpone a quarantined item; give it up if it has no retention."""
         self._metrics.quarantined += 1
         if route.retention:
             progress.not_before = clock.uptime() + _QUARANTINE_RECHECK_SECONDS
         else:
-            self._give_up(board, job, progress)
+            self._give_up(shard, job, progress)
 
 
 def job_age_seconds(job: OwnedJob) -> float:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/grace_period.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/grace_period.py
@@ -8,12 +8,12 @@
 #: Time for an owner to recover after the object service answers this process
 #: again. Replacing it loses the results and progress that it has in memory.
 _GRACE_SECONDS = 1.5
-#: Longest gap between two answers of one uninterrupted series.
-_MAX_ANSWER_GAP_SECONDS = 1.0
+#: Longest gap between two successful reads of one series.
+_MAX_READ_GAP_SECONDS = 1.0
 
 
-class _AnswerSeries(Struct):
-    """First and last time (s) of an uninterrupted series of answers."""
+class _ReadSeries(Struct):
+    """First and last time (s) of a series of successful reads."""
 
     first: float
     last: float
@@ -29,7 +29,7 @@
 
     def __init__(self, store: FollowedStore) -> None:
         self._store = store
-        self._series_by_shard: dict[int, _AnswerSeries] = {}
+        self._series_by_shard: dict[int, _ReadSeries] = {}
 
     def is_over(self, shard: int) -> bool:
         """Read once; return whether reads have succeeded for long enough.
@@ -43,8 +43,8 @@
             return False
         now = clock.uptime()
         series = self._series_by_shard.get(shard)
-        if series is None or now - series.last > _MAX_ANSWER_GAP_SECONDS:
-            series = _AnswerSeries(now, now)
+        if series is None or now - series.last > _MAX_READ_GAP_SECONDS:
+            series = _ReadSeries(now, now)
             self._series_by_shard[shard] = series
         series.last = now
         return now - series.first > _GRACE_SECONDS
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/item_run.py
@@ -37,7 +37,7 @@
     """A run of an item, which can be stopped from another greenlet."""
 
     engine: Engine
-    board: OwnedShard
+    shard: OwnedShard
     job: OwnedJob
     progress: Progress
     route: Route
@@ -85,7 +85,7 @@
         Raises RunFailedError where the output is incomplete, and OSError where
         the connection fails.
         """
-        if run.board.confirm_ownership(_OWNERSHIP_MAX_AGE_SECONDS).is_err():
+        if run.shard.confirm_ownership(_OWNERSHIP_MAX_AGE_SECONDS).is_err():
             run.postpone()
             return None
         connection = self._connect(run)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/owned_job.py
@@ -56,21 +56,21 @@
 
     @classmethod
     def restored(
-        cls, item: JobItem, kept: SavedProgress | None, failures: int = 0
+        cls, item: JobItem, saved: SavedProgress | None, failures: int = 0
     ) -> 'Progress':
         """Return the progress that an earlier owner saved, if any."""
-        if kept is None:
+        if saved is None:
             return cls(item, failures=failures, _saved_failures=failures)
         return cls(
             item,
-            [kept.text],
-            kept.last_event,
+            [saved.text],
+            saved.last_event,
             failures,
             _saved_failures=failures,
             _restored=True,
-            _previous_run_seconds=kept.run_seconds,
+            _previous_run_seconds=saved.run_seconds,
             _saved_texts=1,
-            _saved_event=kept.last_event,
+            _saved_event=saved.last_event,
         )
 
     @property
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/run_stopper.py
@@ -35,14 +35,14 @@
 
     def __init__(
         self,
-        keeper: ShardManager,
+        manager: ShardManager,
         candidates: Candidates,
         fleet: Fleet,
         states: HoldBackStates,
         log: Log,
         metrics: Metrics,
     ) -> None:
-        self._keeper = keeper
+        self._manager = manager
         self._candidates = candidates
         self._fleet = fleet
         self._states = states
@@ -58,18 +58,22 @@
         self._move([run for run in active if not run.stopped], capacity)
 
     def may_start(
-        self, service: ServiceName, route: Route, wait: ItemTiming, running: int
+        self,
+        service: ServiceName,
+        route: Route,
+        timing: ItemTiming,
+        running: int,
     ) -> bool:
         """Return whether an item may start beside a service's running items."""
         state = self._states.of(service)
         if not state.held_back or not self._is_outranked(service, route):
             return True
-        return wait is ItemTiming.NOW and running < state.urgent_slots
+        return timing is ItemTiming.NOW and running < state.urgent_slots
 
     def _stop_unwanted(self, runs: Sequence[ItemRun]) -> None:
-        owned = self._keeper.owned.values()
+        owned = self._manager.owned.values()
         for run in runs:
-            if run.board not in owned or run.job.state.ended:
+            if run.shard not in owned or run.job.state.ended:
                 self._stop(run, StopCause.UNWANTED)
 
     def _preempt(
@@ -95,8 +99,10 @@
         by_service = _by_service(runs)
         for service in self._states.services.keys() | by_service.keys():
             service_runs = by_service.get(service, [])
-            refused_seconds = self._fleet.refusals.seconds_since(service)
-            held_back = capacity.lacks_online_slots(service, refused_seconds)
+            seconds_since_refusal = self._fleet.refusals.seconds_since(service)
+            held_back = capacity.lacks_online_slots(
+                service, seconds_since_refusal
+            )
             if held_back:
                 self._release_slots(service, service_runs, capacity)
             self._update_state(service, held_back, len(service_runs))
@@ -110,13 +116,13 @@
         state = self._states.of(service)
         state.urgent_slots = capacity.urgent_slots(service)
         runs.sort(key=self._urgency)
-        kept = 0
+        urgent_runs = 0
         for run in runs:
             if not self._is_outranked(service, run.route):
                 continue
-            wait = self._candidates.wait_cost(run.job, run.progress, run.route)
-            if wait is ItemTiming.NOW and kept < state.urgent_slots:
-                kept += 1
+            timing = self._candidates.timing(run.job, run.progress, run.route)
+            if timing is ItemTiming.NOW and urgent_runs < state.urgent_slots:
+                urgent_runs += 1
             else:
                 self._stop(run, StopCause.HELD_BACK)
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/runner.py
@@ -52,30 +52,30 @@
     def __init__(
         self,
         node: NodeName,
-        keeper: ShardManager,
+        manager: ShardManager,
         dialect: Dialect,
         fleet: Fleet,
         log: Log,
         metrics: Metrics,
     ) -> None:
-        self._keeper = keeper
+        self._manager = manager
         self._fleet = fleet
         self._loads = fleet.loads
         self._executor = ItemExecutor(dialect, fleet)
         self._log = log
         self._metrics = metrics
-        self._pace = ItemDurations()
+        self._durations = ItemDurations()
         self._precedence = Precedence(node)
         self._runs: set[ItemRun] = set()
         self._wake = Event()
-        self._work = BacklogMonitor(keeper, self._pace)
+        self._backlog_monitor = BacklogMonitor(manager, self._durations)
         self._candidates = Candidates(
-            keeper, fleet, self._pace, metrics, self._give_up
+            manager, fleet, self._durations, metrics, self._give_up
         )
         self._hold_back_states = HoldBackStates()
         self.backlog_rates = BacklogRates()
         self._stopper = RunStopper(
-            keeper,
+            manager,
             self._candidates,
             fleet,
             self._hold_back_states,
@@ -102,7 +102,7 @@
             self._precedence.update_others(self._loads.item_owners())
             capacity = BatchCapacity(self._fleet.balancer, self._precedence)
             self._stopper.check(self._runs, capacity)
-            self._work.update(len(self._runs))
+            self._backlog_monitor.update(len(self._runs))
             self._start_runs(capacity)
             self._wake.wait(_ROUND_INTERVAL_SECONDS)
             self._wake.clear()
@@ -146,10 +146,10 @@
     ) -> bool:
         """Return whether an item may start beside the running ones."""
         route = candidate.route
-        wait = self._candidates.wait_cost(
+        timing = self._candidates.timing(
             candidate.job, candidate.progress, route
         )
-        return self._stopper.may_start(service, route, wait, running)
+        return self._stopper.may_start(service, route, timing, running)
 
     def _start_trial(
         self,
@@ -173,7 +173,7 @@
     def _start(self, candidate: Candidate, engine: Engine) -> None:
         run = ItemRun(
             engine,
-            candidate.board,
+            candidate.shard,
             candidate.job,
             candidate.progress,
             candidate.route,
@@ -196,14 +196,14 @@
         if outcome is None and progress.failures >= run.route.max_attempts:
             outcome = ItemOutcome.GIVEN_UP
         if outcome is not None:
-            self._finish(run.board, run.job, progress, outcome)
+            self._finish(run.shard, run.job, progress, outcome)
         if outcome is ItemOutcome.COMPLETED:
             self._observe_duration(run)
         self.wake()
 
     def _observe_duration(self, run: ItemRun) -> None:
         """Update the run time estimate from a completed item."""
-        self._pace.observe(
+        self._durations.observe(
             run.progress.run_seconds, run.progress.elapsed_seconds
         )
 
@@ -253,7 +253,7 @@
 
     def _finish(
         self,
-        board: OwnedShard,
+        shard: OwnedShard,
         job: OwnedJob,
         progress: Progress,
         outcome: ItemOutcome,
@@ -268,17 +268,17 @@
             text = '\n'.join(progress.texts)
         item_result = ItemResult(progress.item.item, outcome, text)
         self._metrics.items[outcome.value] += 1
-        gevent.spawn(self._record, board, job, item_result)
+        gevent.spawn(self._record, shard, job, item_result)
 
     def _give_up(
-        self, board: OwnedShard, job: OwnedJob, progress: Progress
+        self, shard: OwnedShard, job: OwnedJob, progress: Progress
     ) -> None:
-        self._finish(board, job, progress, ItemOutcome.GIVEN_UP)
+        self._finish(shard, job, progress, ItemOutcome.GIVEN_UP)
 
     def _record(
-        self, board: OwnedShard, job: OwnedJob, item_result: ItemResult
+        self, shard: OwnedShard, job: OwnedJob, item_result: ItemResult
     ) -> None:
-        recorded = board.record(job, item_result)
+        recorded = shard.record(job, item_result)
         failure = recorded.err_value if recorded.is_err() else '-'
         self._log.event(
             'item-recorded',
--- a/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_jobs/shard_manager.py
@@ -17,7 +17,8 @@
 _CHECK_SECONDS = 0.1
 #: Time after a start for reports of peers to arrive before any takeover.
 _SETTLING_SECONDS = 0.8
-#: The same for shards whose last owner has surely ended: their clients wait.
+#: The same for shards whose last owner is known to have ended, so that their
+#: clients do not wait longer than needed.
 _FAST_SETTLING_SECONDS = 0.2
 #: Time after losing a shard before this process may take it over again.
 _LOST_COOLDOWN_SECONDS = 1.5
@@ -58,10 +59,10 @@
         """Return the epoch of each owned shard."""
         return {shard: owned.epoch for shard, owned in self.owned.items()}
 
-    def run(self, sound: Callable[[], bool]) -> None:
-        """Check the owner of each shard until told to leave.
+    def run(self, can_write: Callable[[], bool]) -> None:
+        """Check the owner of each shard until this process leaves.
 
-        Take shards over only while ``sound`` returns true.
+        Take shards over only while ``can_write`` returns true.
         """
         settled_at = clock.uptime() + _SETTLING_SECONDS
         gevent.sleep(_FAST_SETTLING_SECONDS)
@@ -69,7 +70,7 @@
             settled = clock.uptime() >= settled_at
             for shard in range(SHARDS):
                 if not self._leaving and (settled or self._is_free(shard)):
-                    self._check(shard, sound())
+                    self._check(shard, can_write())
             gevent.sleep(_CHECK_SECONDS)
 
     def leave(self, timeout: float) -> None:
@@ -109,7 +110,7 @@
             ]
         )
 
-    def _check(self, shard: int, sound: bool) -> None:
+    def _check(self, shard: int, can_write: bool) -> None:
         owned = self.owned.get(shard)
         claimed = self._peers.claims.highest_epoch(shard)
         if owned is not None:
@@ -122,10 +123,10 @@
             return
         now = clock.uptime()
         cooled_down = now - self._lost_at.get(shard, 0) > _LOST_COOLDOWN_SECONDS
-        attempted = (
+        attempted_recently = (
             now - self._attempted_at.get(shard, 0) < _ATTEMPT_INTERVAL_SECONDS
         )
-        if not sound or not cooled_down or attempted:
+        if not can_write or not cooled_down or attempted_recently:
             return
         if not self._is_preferred(shard):
             return
@@ -134,7 +135,7 @@
             self._take_over(shard)
 
     def _is_free(self, shard: int) -> bool:
-        """Return whether the last owner of a shard has surely ended.
+        """Return whether the last owner of a shard is known to have ended.
 
         It has if it was an earlier process of this node, or of a node whose
         current process reports that it is able to own shards.
@@ -165,19 +166,19 @@
     def _take_over(self, shard: int) -> None:
         started_at = clock.uptime()
         owner = Owner(self._record.node, self._record.address)
-        opened = take_over_shard(
+        taken = take_over_shard(
             self._store,
             shard,
             owner,
             self._retention,
             lambda: self._give_up(shard, ''),
         )
-        if isinstance(opened, Err):
+        if isinstance(taken, Err):
             self._log.event(
-                'takeover-failed', shard=shard, reason=opened.err_value
+                'takeover-failed', shard=shard, reason=taken.err_value
             )
             return
-        owned = opened.ok_value
+        owned = taken.ok_value
         self.owned[shard] = owned
         self._log.event(
             'takeover',
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/admission_control.py
@@ -55,19 +55,19 @@
             self._metrics.load.no_place[exchange.team] += 1
         return refusal
 
-    def finished(self, service: ServiceName) -> None:
+    def record_finished(self, service: ServiceName) -> None:
         """Record that a request has ended and freed its slot."""
-        self._queue.finished(service)
+        self._queue.record_finished(service)
 
     def _admission_request(
         self, exchange: Exchange, service: ServiceName
     ) -> AdmissionRequest:
         team = self._configuration.team_named(exchange.team)
-        exchange.turn = self._shares.share_use(team)
-        behind = self._queue.is_ahead_of(service, exchange.turn)
+        exchange.share_use = self._shares.share_use(team)
+        behind = self._queue.is_ahead_of(service, exchange.share_use)
         return AdmissionRequest(
             exchange.route.target,
             exchange.facts.timeout,
-            exchange.turn,
+            exchange.share_use,
             behind,
         )
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/attempt.py
@@ -33,7 +33,7 @@
     UnknownOutcomeError,
     UnreachableError,
 )
-from bendlead_gateway._online.relay import AnswerRelay, end_to_end_headers
+from bendlead_gateway._online.relay import ResponseRelay, end_to_end_headers
 from bendlead_gateway._scheduling.retry import RetryBudget, has_free_slot
 from bendlead_gateway._scheduling.view import EngineView
 from bendlead_gateway._suspects.crash_detector import BrokenResponse
@@ -63,7 +63,7 @@
         self._shared = fleet.shared_health
         self._log = log
         self._metrics = metrics
-        self._second_tries = RetryBudget()
+        self._retry_budget = RetryBudget()
 
     def make(self, exchange: Exchange, view: EngineView) -> None:
         """Have the engine serve the request.
@@ -77,7 +77,7 @@
         exchange.choice = Choice(name, view.online, view.batch)
         exchange.sends += 1
         if exchange.sends == 1:
-            self._second_tries.earn()
+            self._retry_budget.earn()
         loads.start_online(name)
         connection = None
         idle_seconds = None
@@ -172,11 +172,11 @@
                 error, replaced=timeout is not None
             )
             self._shared.record_failure(engine, kind, exchange.digest)
-            self._report_broken(exchange, engine, answered=False)
-            raise UnknownOutcomeError(f'no answer: {error}') from error
+            self._report_broken(exchange, engine, response_started=False)
+            raise UnknownOutcomeError(f'no response: {error}') from error
         finally:
             if timeout is not None and not silent:
-                self._second_tries.give_back()
+                self._retry_budget.give_back()
 
     def _head_timeout(
         self, exchange: Exchange, view: EngineView
@@ -189,7 +189,7 @@
         others = self._fleet.balancer.views(service, exchange.tried)
         if not has_free_slot(others):
             return None
-        return self._second_tries.take(exchange.route.target)
+        return self._retry_budget.take(exchange.route.target)
 
     def _send(
         self, exchange: Exchange, engine: Engine, connection: HttpConnection
@@ -246,7 +246,7 @@
         connection: HttpConnection,
         head: ResponseHead,
     ) -> None:
-        relay = AnswerRelay(exchange, engine, connection, self._fleet)
+        relay = ResponseRelay(exchange, engine, connection, self._fleet)
         try:
             relay.relay(head)
         except (BrokenStreamError, UnknownOutcomeError) as broken:
@@ -261,14 +261,16 @@
                 FailureKind.SILENT if silent else FailureKind.BROKEN,
                 exchange.digest,
             )
-            self._report_broken(exchange, engine, answered=True)
+            self._report_broken(exchange, engine, response_started=True)
             raise
 
     def _report_broken(
-        self, exchange: Exchange, engine: Engine, *, answered: bool
+        self, exchange: Exchange, engine: Engine, *, response_started: bool
     ) -> None:
-        answer = BrokenResponse(exchange.digest, exchange.sent_at, answered)
-        self._fleet.suspects.record_broken(engine, answer)
+        broken = BrokenResponse(
+            exchange.digest, exchange.sent_at, response_started
+        )
+        self._fleet.suspects.record_broken(engine, broken)
 
     def _log_failure(
         self, engine: Engine, step: Step, error: object, paused: bool
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/exchange.py
@@ -44,7 +44,7 @@
     failure: str = '-'
     quarantined: bool = False
     #: The team's use of its share at the latest admission check.
-    turn: ShareUse = UNCONTESTED
+    share_use: ShareUse = UNCONTESTED
     #: Time spent in the request queue.
     queued_seconds: float = 0
     #: Whether it was queued and then admitted.
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/path.py
@@ -187,7 +187,7 @@
             return self._count_run(exchange, broken, self._abort)
         finally:
             if took_slot:
-                self._admission.finished(view.engine.service)
+                self._admission.record_finished(view.engine.service)
         return 'answered'
 
     def _count_run(
@@ -229,7 +229,7 @@
     def _refuse(
         self, exchange: Exchange, reason: str, retry_after: float
     ) -> str:
-        """Answer that the request has not run, with a retry time (s)."""
+        """Respond that the request has not run; ``retry_after`` is in s."""
         exchange.failure = reason
         headers = [('Retry-After', f'{retry_after:.3f}')]
         exchange.answer(HTTPStatus.SERVICE_UNAVAILABLE, headers)
@@ -287,10 +287,10 @@
     }
     if exchange.queued_seconds:
         fields['held_ms'] = round(exchange.queued_seconds * 1000, 1)
-    if outcome == REFUSED and exchange.turn.used:
+    if outcome == REFUSED and exchange.share_use.used:
         # Recent requests of its team, and its share of them.
-        fields['had'] = round(exchange.turn.used, 2)
-        fields['share'] = round(exchange.turn.share, 2)
+        fields['had'] = round(exchange.share_use.used, 2)
+        fields['share'] = round(exchange.share_use.share, 2)
     if exchange.runs or exchange.quarantined:
         # Unlike the id, the digest is the same when the client retries.
         fields['digest'] = exchange.digest
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/relay.py
@@ -46,7 +46,7 @@
     ]
 
 
-class AnswerRelay:
+class ResponseRelay:
     """Relay one response from one engine.
 
     Raises ``BrokenStreamError`` where the response breaks off after a part of
@@ -70,7 +70,7 @@
         self._last_part_at = 0.0
 
     def relay(self, head: ResponseHead) -> None:
-        """Relay the body by events, by chunks or buffered, as the route is."""
+        """Relay the body by event, by chunk or buffered, by kind of route."""
         exchange = self._exchange
         stream = exchange.route.kind is RouteKind.STREAM
         if stream and exchange.route.resumable and head.status == HTTPStatus.OK:
--- a/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_online/request_queue.py
@@ -25,7 +25,7 @@
 
 
 class FairShares(Protocol):
-    """Source of the use that teams make of their shares."""
+    """Source of each team's recent use and fair share."""
 
     def share_use(self, team: Team | None) -> ShareUse:
         """Return the team's recent requests and its share."""
@@ -53,8 +53,8 @@
         self._metrics = metrics
         self._now = now
         #: By name of the route.
-        self._patience: dict[str, RetryDetector] = {}
-        self._rules: dict[ServiceName, QueuePolicy] = {}
+        self._retry_detectors: dict[str, RetryDetector] = {}
+        self._policies: dict[ServiceName, QueuePolicy] = {}
         self._results: dict[QueuedRequest, AsyncResult] = {}
         self._tasks: dict[ServiceName, gevent.Greenlet] = {}
 
@@ -66,21 +66,21 @@
             counts[queued.team] = counts.get(queued.team, 0) + 1
         return counts
 
-    def is_ahead_of(self, service: ServiceName, turn: ShareUse) -> bool:
+    def is_ahead_of(self, service: ServiceName, share_use: ShareUse) -> bool:
         """Return whether a queued request goes before a new one."""
-        return self._rules_of(service).is_ahead_of(turn)
+        return self._policy_of(service).is_ahead_of(share_use)
 
-    def finished(self, service: ServiceName) -> None:
+    def record_finished(self, service: ServiceName) -> None:
         """Record that a request of this process has freed its slot."""
-        self._rules_of(service).record_finished()
+        self._policy_of(service).record_finished()
 
     def wait(self, exchange: Exchange, service: ServiceName) -> str | None:
         """Wait for a slot; return why none was available, else ``None``."""
         queued = self._make_queued(exchange)
         if queued is None:
             return 'first attempt or deadline too near'
-        rules = self._rules_of(service)
-        reason = rules.rejection_reason(queued)
+        policy = self._policy_of(service)
+        reason = policy.rejection_reason(queued)
         if reason is not None:
             self._metrics.load.held['not_held'] += 1
             return reason
@@ -96,8 +96,10 @@
             route.target,
             stream,
         )
-        patience = self._patience.setdefault(route.name, RetryDetector())
-        if not patience.is_retry(exchange.facts.timeout, route.timeout):
+        retry_detector = self._retry_detectors.setdefault(
+            route.name, RetryDetector()
+        )
+        if not retry_detector.is_retry(exchange.facts.timeout, route.timeout):
             return None
         now = self._now()
         if not should_queue(last_send - now, route.target):
@@ -109,14 +111,14 @@
             last_send,
             route.target,
             (team.priority if team else 0, route.priority),
-            exchange.turn,
+            exchange.share_use,
             len(exchange.request.body),
         )
 
     def _wait_for_slot(
         self, exchange: Exchange, queued: QueuedRequest, service: ServiceName
     ) -> str | None:
-        self._rules_of(service).add(queued)
+        self._policy_of(service).add(queued)
         self._results[queued] = AsyncResult()
         self._start_releasing(service)
         try:
@@ -132,15 +134,15 @@
 
     def _remove(self, queued: QueuedRequest, service: ServiceName) -> None:
         """Remove a request that was released, refused or abandoned."""
-        self._rules_of(service).remove(queued)
+        self._policy_of(service).remove(queued)
         self._results.pop(queued)
 
-    def _rules_of(self, service: ServiceName) -> QueuePolicy:
-        rules = self._rules.get(service)
-        if rules is None:
-            rules = QueuePolicy(self._now)
-            self._rules[service] = rules
-        return rules
+    def _policy_of(self, service: ServiceName) -> QueuePolicy:
+        policy = self._policies.get(service)
+        if policy is None:
+            policy = QueuePolicy(self._now)
+            self._policies[service] = policy
+        return policy
 
     def _start_releasing(self, service: ServiceName) -> None:
         task = self._tasks.get(service)
@@ -149,26 +151,26 @@
 
     def _release_all(self, service: ServiceName) -> None:
         """Release requests until the queue of the service is empty."""
-        rules = self._rules_of(service)
-        while rules.queued:
-            self._release_next(service, rules)
+        policy = self._policy_of(service)
+        while policy.queued:
+            self._release_next(service, policy)
             gevent.sleep(_POLL_SECONDS)
 
-    def _release_next(self, service: ServiceName, rules: QueuePolicy) -> None:
-        for queued in rules.queued:
+    def _release_next(self, service: ServiceName, policy: QueuePolicy) -> None:
+        for queued in policy.queued:
             queued.share_use = self._shares.share_use(
                 self._team_named(queued.team)
             )
-        for unlikely in rules.expired():
-            self._wake(rules, unlikely, 'no slot expected before its deadline')
+        for unlikely in policy.expired():
+            self._wake(policy, unlikely, 'no slot expected before its deadline')
         wait = self._wait_of(service)
-        released = None if wait is None else rules.release(wait)
+        released = None if wait is None else policy.release(wait)
         if released is not None:
-            self._wake(rules, released, None)
+            self._wake(policy, released, None)
 
     def _wake(
-        self, rules: QueuePolicy, queued: QueuedRequest, reason: str | None
+        self, policy: QueuePolicy, queued: QueuedRequest, reason: str | None
     ) -> None:
         """Wake the greenlet of a request; ``reason`` is that of a refusal."""
-        rules.remove(queued)
+        policy.remove(queued)
         self._results[queued].set(reason)
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/estimators.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/estimators.py
@@ -30,18 +30,18 @@
         """Return the share of a step that each further request adds."""
         return min(max(0.0, self.products / self.squares), _MAX_SLOPE)
 
-    def factor(self, further: float) -> float:
+    def factor(self, above_half: float) -> float:
         """Return the step time relative to that at half of all slots.
 
-        ``further`` is the number of requests above half of the slots.
+        ``above_half`` is the number of requests above half of the slots.
         """
-        return max(_MAX_DEVIATION, 1 + self.per_request * further)
+        return max(_MAX_DEVIATION, 1 + self.per_request * above_half)
 
-    def observe(self, excess: float, further: float) -> None:
+    def observe(self, excess: float, above_half: float) -> None:
         """Add a relative deviation from the usual step time, clipped."""
         clipped = min(max(-_MAX_DEVIATION, excess), _MAX_DEVIATION)
-        self.squares = self.squares * _SLOPE_DECAY + further * further
-        self.products = self.products * _SLOPE_DECAY + clipped * further
+        self.squares = self.squares * _SLOPE_DECAY + above_half * above_half
+        self.products = self.products * _SLOPE_DECAY + clipped * above_half
 
 
 class Stall(Struct):
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/item_slots.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/item_slots.py
@@ -41,10 +41,10 @@
     def __init__(
         self,
         views: Sequence[EngineView],
-        kept: int = 0,
+        reserved: int = 0,
         first_on: Container[EngineId] | None = None,
     ) -> None:
-        self._kept = kept
+        self._reserved = reserved
         self._first_on = first_on
         # If all engines are paused, the fault is more likely on this side.
         usable = [view for view in views if not view.paused] or views
@@ -66,21 +66,21 @@
 
     def _idle(self, view: EngineView) -> int:
         """Count the idle slots of an engine, before headroom by age."""
-        idle = view.free - self._kept
+        idle = view.free - self._reserved
         if self._first_on is None or view.name in self._first_on:
             return idle
         return idle - PRECEDENCE_HEADROOM
 
 
 def runs_to_preempt(
-    view: EngineView, runs: int, kept: int = 0, items_before: int = 0
+    view: EngineView, runs: int, reserved: int = 0, items_before: int = 0
 ) -> int:
     """Return how many of this process's runs to preempt on an engine.
 
-    They make room for online requests, for the slots kept and for items of
+    They make room for online requests, for the reserved slots and for items of
     owners that have precedence.
     """
-    excess = view.online + kept + items_before + runs - view.slots
+    excess = view.online + reserved + items_before + runs - view.slots
     return min(max(0, excess), runs)
 
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/moves.py
@@ -1,7 +1,7 @@
 """Choice of item runs to move to another engine.
 
 Runs on engines that drain, are paused or stop sending events are moved before
-the engine ends, so that no time is lost.
+the engine stops, so that no time is lost.
 """
 
 from collections.abc import Sequence
@@ -37,7 +37,7 @@
 
     @property
     def endangered(self) -> bool:
-        """Return whether the engine may end before the run completes."""
+        """Return whether the engine may stop before the run completes."""
         ending = self.draining or (self.paused and self.silent > _QUIET_SECONDS)
         return ending and self.remaining > _MIN_REMAINING_SECONDS
 
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/speed.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/speed.py
@@ -117,11 +117,11 @@
         if not MIN_GAP_SECONDS <= gap <= MAX_GAP_SECONDS:
             return None
         service, record = self._get_or_add(engine)
-        further = _further(engine, running)
+        above_half = _requests_above_half(engine, running)
         usual = record.gap(now)
         if usual:
-            service.slope.observe(gap / usual - 1, further)
-        record.own.append(gap / service.slope.factor(further))
+            service.slope.observe(gap / usual - 1, above_half)
+        record.own.append(gap / service.slope.factor(above_half))
         previous = record.own_estimate
         streams = previous.streams + 1 if previous else 1
         record.own_estimate = SpeedEstimate(median(record.own), streams, now)
@@ -135,7 +135,7 @@
         service, record = self._get_or_add(engine)
         usual = record.gap(now)
         if usual:
-            usual *= service.slope.factor(_further(engine, running))
+            usual *= service.slope.factor(_requests_above_half(engine, running))
             record.stall.observe(gap / usual, now)
 
     def add_peer_estimate(
@@ -245,6 +245,6 @@
     return lambda name: (estimates[name].weight, estimates[name].at)
 
 
-def _further(engine: Engine, running: int) -> float:
+def _requests_above_half(engine: Engine, running: int) -> float:
     """Count the concurrent requests above half of the slots."""
     return min(running, engine.slots) - engine.slots / 2
--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
@@ -48,7 +48,7 @@
     def __init__(self) -> None:
         self._seconds = _INITIAL_RUN_SECONDS
         self._stretch = 1.0
-        self._slots_held: float | None = None
+        self._slots_used: float | None = None
         self._clear_seconds = 0.0
 
     @property
@@ -56,32 +56,34 @@
         """Return the mean run time of a complete item in seconds."""
         return self._seconds
 
-    def update_work(self, spent: Iterable[float], held: int) -> None:
+    def update_work(
+        self, run_seconds: Iterable[float], slots_used: int
+    ) -> None:
         """Update the remaining work and the slots in use.
 
-        ``spent`` is the run time so far of each incomplete item, in seconds.
+        ``run_seconds`` are the run times so far of all incomplete items.
         """
-        if self._slots_held is None:
-            self._slots_held = held
-        self._slots_held += (held - self._slots_held) * _SLOTS_SMOOTHING
-        work = sum(max(self._seconds - seconds, 0) for seconds in spent)
-        self._clear_seconds = work / max(1, self._slots_held)
+        if self._slots_used is None:
+            self._slots_used = slots_used
+        self._slots_used += (slots_used - self._slots_used) * _SLOTS_SMOOTHING
+        work = sum(max(self._seconds - seconds, 0) for seconds in run_seconds)
+        self._clear_seconds = work / max(1, self._slots_used)
 
-    def observe(self, seconds: float, took: float | None = None) -> None:
+    def observe(self, seconds: float, elapsed: float | None = None) -> None:
         """Add a complete item's run time and total time, in seconds."""
         self._seconds += (seconds - self._seconds) * _SMOOTHING
-        if took is not None and seconds > 0:
-            stretch = min(max(took / seconds, 1), _MAX_STRETCH)
+        if elapsed is not None and seconds > 0:
+            stretch = min(max(elapsed / seconds, 1), _MAX_STRETCH)
             self._stretch += (stretch - self._stretch) * _SMOOTHING
 
     def urgency(
         self,
         accepted_at: float,
         age: float,
-        spent: float,
+        run_seconds: float,
         target: float,
     ) -> Urgency:
-        """Return the urgency of an item; age, spent and target in seconds.
+        """Return the urgency of an item; ``age`` and ``target`` are in seconds.
 
         Under overload, a new item is expected to be preempted as often as
         previous ones. An item that has started is not, since its progress
@@ -89,28 +91,33 @@
         """
         if not target:
             return Urgency(Prospect.LIKELY, accepted_at)
-        left = self.left(spent)
+        left = self.remaining_seconds(run_seconds)
         spare = target - _POLL_MARGIN_SECONDS - age
         if left > spare:
             prospect = Prospect.TOO_LATE
-        elif not spent and left * self._expected_stretch(target) > spare:
+        elif not run_seconds and left * self._expected_stretch(target) > spare:
             prospect = Prospect.UNSTOPPED
         else:
             prospect = Prospect.LIKELY
         return Urgency(prospect, accepted_at)
 
-    def left(self, spent: float) -> float:
+    def remaining_seconds(self, run_seconds: float) -> float:
         """Return the remaining run time of an item in seconds."""
-        return max(self._seconds - spent, 0)
+        return max(self._seconds - run_seconds, 0)
 
-    def spare(self, age: float, spent: float, target: float) -> float:
+    def spare(self, age: float, run_seconds: float, target: float) -> float:
         """Return the seconds between completion and target of an item.
 
         Negative if it will be late, infinite without a target.
         """
         if not target:
             return math.inf
-        return target - _POLL_MARGIN_SECONDS - age - self.left(spent)
+        return (
+            target
+            - _POLL_MARGIN_SECONDS
+            - age
+            - self.remaining_seconds(run_seconds)
+        )
 
     def _expected_stretch(self, target: float) -> float:
         overloaded = self._clear_seconds > target * _OVERLOAD_FACTOR
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -176,7 +176,7 @@
         # A first attempt sets the usual timeout of clients.
         self.read(self.send_request())
         for _slot in range(20):
-            self.entry.request_queue.finished('s1')
+            self.entry.request_queue.record_finished('s1')
 
     def free(self):
         """Free the slots of the engine."""
