--- a/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
+++ b/packages/bendlead-gateway/src/bendlead_gateway/_scheduling/urgency.py
@@ -31,7 +31,7 @@
 
     LIKELY = 0
     #: Only if it is not preempted.
-    UNSTOPPED = 1
+    UNINTERRUPTED = 1
     TOO_LATE = 2
 
 
@@ -96,7 +96,7 @@
         if left > spare:
             prospect = Prospect.TOO_LATE
         elif not run_seconds and left * self._expected_stretch(target) > spare:
-            prospect = Prospect.UNSTOPPED
+            prospect = Prospect.UNINTERRUPTED
         else:
             prospect = Prospect.LIKELY
         return Urgency(prospect, accepted_at)
--- a/tests/test_gateway_scheduling.py
+++ b/tests/test_gateway_scheduling.py
@@ -323,7 +323,7 @@
         ranked = sorted(
             [
                 Urgency(Prospect.TOO_LATE, 1),
-                Urgency(Prospect.UNSTOPPED, 2),
+                Urgency(Prospect.UNINTERRUPTED, 2),
                 Urgency(Prospect.LIKELY, 4),
                 Urgency(Prospect.LIKELY, 3),
             ]
@@ -341,7 +341,7 @@
     @parameterized.expand(
         [
             ('runs_on', 5, 10, 0, Prospect.LIKELY),
-            ('stopped_as_often', 10, 10, 0, Prospect.UNSTOPPED),
+            ('stopped_as_often', 10, 10, 0, Prospect.UNINTERRUPTED),
             ('begun', 10, 10, 0.5, Prospect.LIKELY),
             ('begun_too_late', 10, 17, 1, Prospect.TOO_LATE),
         ]
@@ -357,8 +357,8 @@
 
     @parameterized.expand(
         [
-            ('more_work_than_places', [0] * 40, 5, Prospect.UNSTOPPED),
-            ('nothing_runs', [0] * 8, 0, Prospect.UNSTOPPED),
+            ('more_work_than_places', [0] * 40, 5, Prospect.UNINTERRUPTED),
+            ('nothing_runs', [0] * 8, 0, Prospect.UNINTERRUPTED),
             ('a_little_too_much_work', [0] * 30, 5, Prospect.LIKELY),
             ('most_of_it_is_done', [4.9] * 40, 5, Prospect.LIKELY),
             ('more_places', [0] * 40, 10, Prospect.LIKELY),
