--- a/tests/test_gateway_gone.py
+++ b/tests/test_gateway_gone.py
@@ -107,7 +107,7 @@
         before = len(written)
         gevent.sleep(0.2)
         self.assertEqual(before, len(written))
-        self.assertFalse(self.entry._clients.busy)
+        self.assertFalse(self.entry._client_server.busy)
 
     def test_closed_before_the_request_is_read(self):
         self.begin(lambda sock: sock.sendall(_PLAIN), 'safe')
--- a/tests/test_gateway_overload.py
+++ b/tests/test_gateway_overload.py
@@ -164,7 +164,7 @@
             answers=[answer],
             memory=1_000_000,
         )
-        body_budget = self.entry._clients.body_budget
+        body_budget = self.entry._client_server.body_budget
         self.assertEqual(250_000, body_budget.max_bytes)
         body_budget.used_bytes += int(250_000 * used)
         with mock.patch.object(
--- a/tests/test_gateway_waiting_room.py
+++ b/tests/test_gateway_waiting_room.py
@@ -232,6 +232,6 @@
         self.begin()
         asking = self.send_request(timeout_ms=1800)
         eventually(lambda: self.waiting() == 1)
-        self.entry._clients.abort_requests()
+        self.entry._client_server.abort_requests()
         head, _body = self.read(asking)
         self.assertEqual(503, head.status)
